--- a/crates/feed/src/archive.rs
+++ b/crates/feed/src/archive.rs
@@ -24,11 +24,11 @@
 
 /// What a peer is told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Told {
+pub struct PullResponse {
     /// Items changed after the revision that was asked for, or all.
     pub changes: FeedChanges,
     /// Whether these are all items.
-    pub whole: bool,
+    pub is_snapshot: bool,
 }
 
 impl Archive {
@@ -72,16 +72,18 @@
     }
 
     /// What changed after a revision; everything if that can't be told.
-    pub fn after(&self, revision: Revision) -> Told {
-        let whole = revision < self.floor || revision == Revision::NONE;
+    pub fn changes_after(&self, revision: Revision) -> PullResponse {
+        let is_snapshot = revision < self.floor || revision == Revision::NONE;
         let mut items: Vec<RawItem> = self
             .items
             .values()
-            .filter(|item| if whole { item.content.is_some() } else { item.revision > revision })
+            .filter(
+                |item| if is_snapshot { item.content.is_some() } else { item.revision > revision },
+            )
             .cloned()
             .collect();
         items.sort_by_key(|item| item.revision);
-        Told { changes: FeedChanges { items, revision: self.position }, whole }
+        PullResponse { changes: FeedChanges { items, revision: self.position }, is_snapshot }
     }
 
     fn forget_removed(&mut self) {
--- a/crates/feed/src/check.rs
+++ b/crates/feed/src/check.rs
@@ -3,19 +3,19 @@
 use shallotfork_types::{Bytes, Revision};
 use thiserror::Error;
 
-use crate::archive::{Archive, Told};
+use crate::archive::{Archive, PullResponse};
 
 /// Items that are taken at once: several times those of the largest platform.
 const ITEMS_MAX: usize = 100_000;
 
 /// Why what another entry told is not taken.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum TellError {
+pub enum PullError {
     /// It ends before what is known here: the teller has lost its place, or the answer came late.
-    #[error("it ends at revision {told}, and {known} is known here")]
+    #[error("it ends at revision {received}, and {known} is known here")]
     Older {
         /// Where it ends.
-        told: Revision,
+        received: Revision,
         /// What is known.
         known: Revision,
     },
@@ -41,21 +41,21 @@
     ///
     /// # Errors
     /// The reason, after which the items are to be asked for elsewhere.
-    pub fn check(&self, told: &Told) -> Result<(), TellError> {
-        let Told { changes, whole } = told;
+    pub fn check(&self, told: &PullResponse) -> Result<(), PullError> {
+        let PullResponse { changes, is_snapshot } = told;
         let known = self.position();
         if changes.revision < known {
-            return Err(TellError::Older { told: changes.revision, known });
+            return Err(PullError::Older { received: changes.revision, known });
         }
-        if *whole && changes.items.is_empty() {
-            return Err(TellError::Empty);
+        if *is_snapshot && changes.items.is_empty() {
+            return Err(PullError::Empty);
         }
         if changes.items.len() > ITEMS_MAX {
-            return Err(TellError::TooMany(changes.items.len()));
+            return Err(PullError::TooMany(changes.items.len()));
         }
         let bad = |revision: Revision, key: &str| key.is_empty() || revision == Revision::NONE;
         if changes.items.iter().any(|item| bad(item.revision, &item.key)) {
-            return Err(TellError::BadItem);
+            return Err(PullError::BadItem);
         }
         Ok(())
     }
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -58,7 +58,7 @@
     Unreachable(String),
     /// It answered that it can't serve now.
     #[error("the platform turns this process away with status {0}")]
-    TurnedAway(u16),
+    Rejected(u16),
     /// The changes after that revision are no longer kept.
     #[error("the platform no longer keeps the changes after the revision")]
     HistoryLost,
--- a/crates/feed/src/pack.rs
+++ b/crates/feed/src/pack.rs
@@ -8,11 +8,11 @@
 use flate2::write::DeflateEncoder;
 use shallotfork_types::{Bytes, Revision};
 
-use crate::check::TellError;
+use crate::check::PullError;
 use crate::feed::RawItem;
 
 /// Smaller contents are not packed one by one.
-pub const PACK_FROM: usize = 4 * 1024;
+pub const PACK_MIN_BYTES: usize = 4 * 1024;
 /// The largest content that is unpacked; several times what any platform holds under one key.
 const UNPACKED_MAX: Bytes = Bytes::from_mib(8);
 
@@ -36,7 +36,7 @@
 
     /// The packed content; `None` if the item is small, removed, or gets no smaller.
     pub fn pack(&mut self, item: &RawItem) -> Option<&[u8]> {
-        let content = item.content.as_deref().filter(|content| content.len() >= PACK_FROM);
+        let content = item.content.as_deref().filter(|content| content.len() >= PACK_MIN_BYTES);
         let Some(content) = content else {
             self.by_key.remove(&item.key);
             return None;
@@ -53,7 +53,7 @@
 
 /// Packs one content; `None` if it is small or gets no smaller.
 pub fn pack(content: &[u8]) -> Option<Vec<u8>> {
-    let packed = (content.len() >= PACK_FROM).then(|| deflate(content))?;
+    let packed = (content.len() >= PACK_MIN_BYTES).then(|| deflate(content))?;
     (packed.len() < content.len()).then_some(packed)
 }
 
@@ -61,16 +61,16 @@
 ///
 /// # Errors
 /// When the content is not a packed one of that size, or the size is larger than any content.
-pub fn unpack(packed: &[u8], size: Bytes) -> Result<Vec<u8>, TellError> {
+pub fn unpack(packed: &[u8], size: Bytes) -> Result<Vec<u8>, PullError> {
     if size > UNPACKED_MAX {
-        return Err(TellError::BadPacked(size));
+        return Err(PullError::BadPacked(size));
     }
     let mut content = Vec::new();
     // One byte more than allowed, so that a longer content shows.
     let mut decoder = DeflateDecoder::new(packed).take(size.value() + 1);
     let read = decoder.read_to_end(&mut content);
     if read.is_err() || content.len() as u64 != size.value() {
-        return Err(TellError::BadPacked(size));
+        return Err(PullError::BadPacked(size));
     }
     Ok(content)
 }
--- a/crates/feed/src/catch_up.rs
+++ b/crates/feed/src/pull_scheduler.rs
@@ -13,14 +13,14 @@
 /// another failure domain is read from only if nobody near knows the change by the time that it takes
 /// to spread there: each change would cross once for every entry otherwise.
 #[derive(Debug, Default)]
-pub struct CatchUp {
+pub struct PullScheduler {
     /// When the reading in progress began, or a part of its answer came.
     heard_at: Option<Mono>,
     /// What a far entry was heard to know beyond this one, and when.
     far: Option<(Revision, Mono)>,
 }
 
-impl CatchUp {
+impl PullScheduler {
     /// Nothing is being read.
     pub fn new() -> Self {
         Self::default()
@@ -32,7 +32,7 @@
     /// connection does not break. Whoever went on waiting for it for the whole time of a long
     /// transfer, 5 s, would go by the old routes and targets for as long, although all others tell
     /// it that they know more. So another reading may begin when nothing more comes of one.
-    pub fn begin(&mut self, now: Mono) -> bool {
+    pub fn try_begin(&mut self, now: Mono) -> bool {
         let busy = self.heard_at.is_some_and(|at| now.since(at) < PATIENCE);
         if !busy {
             self.heard_at = Some(now);
@@ -41,7 +41,7 @@
     }
 
     /// The reading goes on: a part of the answer has come.
-    pub fn progress(&mut self, now: Mono) {
+    pub fn record_progress(&mut self, now: Mono) {
         if let Some(at) = &mut self.heard_at {
             *at = now;
         }
@@ -53,13 +53,13 @@
     }
 
     /// Whether a far entry was heard to know more than this one does now.
-    pub fn misses(&self, own: Revision) -> bool {
+    pub fn is_behind_other_domain(&self, own: Revision) -> bool {
         self.far.is_some_and(|(known, _)| known > own)
     }
 
     /// A far entry knows everything up to `known`, and this one up to `own`; whether it should be
     /// read from, since `spread` was not enough for the change to reach anybody near.
-    pub fn far_knows(
+    pub fn should_pull_from_other_domain(
         &mut self,
         known: Revision,
         own: Revision,
--- a/crates/feed/src/uplink.rs
+++ b/crates/feed/src/uplink.rs
@@ -34,7 +34,7 @@
     }
 
     /// Counts what is handed on.
-    pub fn hand_on(&mut self, size: Bytes, now: Mono) {
+    pub fn record_sent(&mut self, size: Bytes, now: Mono) {
         self.free_at = self.free_at.max(now).plus(self.rate.time_for(size));
     }
 }
--- a/crates/feed/tests/archive.rs
+++ b/crates/feed/tests/archive.rs
@@ -1,7 +1,7 @@
 //! What entries tell each other of published items.
 
 use quickcheck::QuickCheck;
-use shallotfork_feed::{Archive, FeedChanges, RawItem, TellError, Told};
+use shallotfork_feed::{Archive, FeedChanges, PullError, PullResponse, RawItem};
 use shallotfork_types::Revision;
 
 fn item(key: u8, revision: u64, content: Option<&str>) -> RawItem {
@@ -21,8 +21,8 @@
 
 #[test]
 fn who_knows_nothing_is_told_everything() {
-    let told = first().after(Revision::NONE);
-    assert!(told.whole);
+    let told = first().changes_after(Revision::NONE);
+    assert!(told.is_snapshot);
     assert_eq!(told.changes, changes(vec![item(1, 3, Some("a")), item(2, 5, Some("b"))], 6));
 }
 
@@ -32,15 +32,15 @@
 fn who_knows_a_part_is_told_the_rest_with_removals() {
     let mut archive = first();
     archive.apply(&changes(vec![item(1, 8, None)], 9));
-    let told = archive.after(Revision::new(6));
-    assert!(!told.whole);
+    let told = archive.changes_after(Revision::new(6));
+    assert!(!told.is_snapshot);
     assert_eq!(told.changes, changes(vec![item(1, 8, None)], 9));
 }
 
 #[test]
 fn who_was_away_for_too_long_is_told_everything() {
-    let told = first().after(Revision::new(2));
-    assert!(told.whole);
+    let told = first().changes_after(Revision::new(2));
+    assert!(told.is_snapshot);
 }
 
 #[test]
@@ -48,8 +48,13 @@
     let mut archive = first();
     archive.apply(&changes(vec![item(3, 9, Some("c"))], 9));
     archive.replace(&[item(1, 3, Some("a"))], Revision::new(7));
-    let keys: Vec<String> =
-        archive.after(Revision::NONE).changes.items.into_iter().map(|item| item.key).collect();
+    let keys: Vec<String> = archive
+        .changes_after(Revision::NONE)
+        .changes
+        .items
+        .into_iter()
+        .map(|item| item.key)
+        .collect();
     assert_eq!(keys, ["key-1", "key-3"]);
     assert_eq!(archive.position(), Revision::new(9));
 }
@@ -67,14 +72,14 @@
             }
         }
         follow(&source, &mut follower);
-        source.after(Revision::NONE) == follower.after(Revision::NONE)
+        source.changes_after(Revision::NONE) == follower.changes_after(Revision::NONE)
     }
     QuickCheck::new().tests(400).quickcheck(property as fn(Vec<(u8, bool, bool)>) -> bool);
 }
 
 fn follow(source: &Archive, follower: &mut Archive) {
-    let told = source.after(follower.position());
-    if told.whole {
+    let told = source.changes_after(follower.position());
+    if told.is_snapshot {
         follower.replace(&told.changes.items, told.changes.revision);
     } else {
         follower.apply(&told.changes);
@@ -86,18 +91,18 @@
 #[test]
 fn what_is_cut_short_or_older_is_not_taken() {
     let archive = first();
-    let told = |items: Vec<RawItem>, revision: u64, whole: bool| {
-        archive.check(&Told { changes: changes(items, revision), whole })
+    let told = |items: Vec<RawItem>, revision: u64, is_snapshot: bool| {
+        archive.check(&PullResponse { changes: changes(items, revision), is_snapshot })
     };
     let known = Revision::new(6);
-    assert_eq!(told(Vec::new(), 9, true), Err(TellError::Empty));
-    let older = TellError::Older { told: Revision::new(5), known };
+    assert_eq!(told(Vec::new(), 9, true), Err(PullError::Empty));
+    let older = PullError::Older { received: Revision::new(5), known };
     assert_eq!(told(vec![item(1, 3, Some("a"))], 5, true), Err(older.clone()));
     assert_eq!(told(Vec::new(), 5, false), Err(older));
-    assert_eq!(told(vec![item(1, 0, Some("a"))], 9, false), Err(TellError::BadItem));
+    assert_eq!(told(vec![item(1, 0, Some("a"))], 9, false), Err(PullError::BadItem));
     assert_eq!(
         told(vec![item(3, 7, Some("c")); 100_001], 9, true),
-        Err(TellError::TooMany(100_001))
+        Err(PullError::TooMany(100_001))
     );
     assert_eq!(told(Vec::new(), 6, false), Ok(()));
     assert_eq!(told(vec![item(1, 8, None)], 9, false), Ok(()));
--- a/crates/feed/tests/pack.rs
+++ b/crates/feed/tests/pack.rs
@@ -1,7 +1,7 @@
 //! Compressed contents of large items.
 
 use quickcheck::{QuickCheck, TestResult};
-use shallotfork_feed::{Packer, RawItem, TellError, unpack};
+use shallotfork_feed::{Packer, PullError, RawItem, unpack};
 use shallotfork_types::{Bytes, Revision};
 
 fn item(revision: u64, content: Vec<u8>) -> RawItem {
@@ -53,7 +53,7 @@
     let mut packer = Packer::new();
     let packed = packer.pack(&item(3, content.clone())).expect("it is large").to_vec();
     let bad =
-        |packed: &[u8], size| assert_eq!(unpack(packed, size), Err(TellError::BadPacked(size)));
+        |packed: &[u8], size| assert_eq!(unpack(packed, size), Err(PullError::BadPacked(size)));
     bad(&packed[..packed.len() / 2], size(&content));
     bad(&packed, Bytes::new(size(&content).value() - 1));
     bad(&packed, Bytes::new(size(&content).value() + 1));
--- a/crates/feed/tests/uplink.rs
+++ b/crates/feed/tests/uplink.rs
@@ -15,7 +15,7 @@
     for step in 0..2000 * READERS_PER_MS {
         let now = Mono::from_millis(step / READERS_PER_MS);
         if !uplink.is_full(now) {
-            uplink.hand_on(size, now);
+            uplink.record_sent(size, now);
             bytes += size.value();
         }
     }
@@ -41,7 +41,7 @@
     let mut uplink = Uplink::new(LINK);
     let start = Mono::from_millis(10);
     assert!(!uplink.is_full(start));
-    uplink.hand_on(Bytes::from_mib(4), start);
+    uplink.record_sent(Bytes::from_mib(4), start);
     assert!(uplink.is_full(start));
     assert!(!uplink.is_full(start.plus(Duration::from_secs(9))));
 }
--- a/crates/gateway/src/control/reading.rs
+++ b/crates/gateway/src/control/reading.rs
@@ -30,7 +30,7 @@
 
 /// Reads from another entry, and from the next one that knows more while it is busy.
 pub async fn pull(state: &State, source: Source) {
-    if !state.catch_up.borrow_mut().begin(state.now()) {
+    if !state.catch_up.borrow_mut().try_begin(state.now()) {
         let mut sources = state.sources.borrow_mut();
         if sources.len() < SOURCES_MAX {
             sources.push(source);
@@ -94,7 +94,7 @@
         }
         let received_bytes = client.received_bytes();
         if received_bytes > seen_bytes {
-            state.catch_up.borrow_mut().progress(state.now());
+            state.catch_up.borrow_mut().record_progress(state.now());
         }
         seen_bytes = received_bytes;
     }
--- a/crates/gateway/src/control/relay.rs
+++ b/crates/gateway/src/control/relay.rs
@@ -6,7 +6,7 @@
 use crate::control::publish::{take_all, take_changes};
 use crate::control::reader::note_synced;
 use crate::control::state::State;
-use shallotfork_feed::{FeedChanges, RawItem, TellError, Told, unpack};
+use shallotfork_feed::{FeedChanges, PullError, PullResponse, RawItem, unpack};
 
 /// Whether to read from another entry what it knows beyond this one.
 ///
@@ -25,23 +25,28 @@
     if near || own == Revision::NONE || beliefs.contacts.hears_readers && !reads {
         return true;
     }
-    state.catch_up.borrow_mut().far_knows(known, own, beliefs.spread_time(), state.now())
+    state.catch_up.borrow_mut().should_pull_from_other_domain(
+        known,
+        own,
+        beliefs.spread_time(),
+        state.now(),
+    )
 }
 
 /// Takes what another entry has told; how many items.
 ///
 /// # Errors
 /// Why it can't be taken.
-pub fn take(state: &State, changes: Changes) -> Result<usize, TellError> {
+pub fn take(state: &State, changes: Changes) -> Result<usize, PullError> {
     let Changes { revision, mut values, whole, bundle } = changes;
     if let Some(Bundle { content, unpacked_size }) = bundle {
         let content = unpack(&content, unpacked_size)?;
-        let bundled = decode_values(&content).map_err(|_| TellError::BadPacked(unpacked_size))?;
+        let bundled = decode_values(&content).map_err(|_| PullError::BadPacked(unpacked_size))?;
         values.extend(bundled);
     }
     let items = values.into_iter().map(item).collect::<Result<Vec<_>, _>>()?;
     let count = items.len();
-    let told = Told { changes: FeedChanges { items, revision }, whole };
+    let told = PullResponse { changes: FeedChanges { items, revision }, is_snapshot: whole };
     state.archive.borrow().check(&told)?;
     if whole {
         take_all(state, &told.changes.items, revision);
@@ -52,7 +57,7 @@
     Ok(count)
 }
 
-fn item(value: ValueChange) -> Result<RawItem, TellError> {
+fn item(value: ValueChange) -> Result<RawItem, PullError> {
     let ValueChange { name, revision, content, unpacked_size, removed } = value;
     let content = match unpacked_size {
         Some(size) => unpack(&content, size)?,
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -7,7 +7,7 @@
 
 use shallotfork_balance::SlotTarget;
 use shallotfork_evacuation::Evacuations;
-use shallotfork_feed::{Archive, CatchUp, Feed, Packer, Uplink};
+use shallotfork_feed::{Archive, Feed, Packer, PullScheduler, Uplink};
 use shallotfork_fleet::{Beliefs, FleetMember, OwnState};
 use shallotfork_membership::{Announcement, ListedVm};
 use shallotfork_peer::Bundle;
@@ -46,7 +46,7 @@
     /// All small items as they are handed on together, and at which revision.
     pub whole_bundle: RefCell<Option<(Revision, Bundle)>>,
     /// When other entries are asked for published items.
-    pub catch_up: RefCell<CatchUp>,
+    pub catch_up: RefCell<PullScheduler>,
     /// Other entries that may be read from when the one that is read from is busy.
     pub sources: RefCell<Vec<Source>>,
     /// What other entries were told.
--- a/crates/gateway/src/control/telling.rs
+++ b/crates/gateway/src/control/telling.rs
@@ -4,7 +4,7 @@
 
 use metrics::{counter, gauge};
 use shallotfork_events::{ITEMS_TOLD, event};
-use shallotfork_feed::{PACK_FROM, RawItem, Told, pack};
+use shallotfork_feed::{PACK_MIN_BYTES, PullResponse, RawItem, pack};
 use shallotfork_peer::{Bundle, Changes, ChangesAsked, ValueChange, encode_values};
 use shallotfork_types::{Bytes, Revision};
 
@@ -50,11 +50,11 @@
         state.told.put_off.set(state.told.put_off.get() + 1);
         return None;
     }
-    let told = state.archive.borrow().after(asked.after);
+    let told = state.archive.borrow().changes_after(asked.after);
     let changes = if asked.takes_packed { packed(state, &told) } else { unpacked(&told) };
     let size = size(&changes);
     state.told.add(size.value());
-    state.uplink.borrow_mut().hand_on(size, now);
+    state.uplink.borrow_mut().record_sent(size, now);
     Some(changes)
 }
 
@@ -64,30 +64,30 @@
     Bytes::new((values.sum::<usize>() + bundle) as u64)
 }
 
-fn unpacked(told: &Told) -> Changes {
+fn unpacked(told: &PullResponse) -> Changes {
     let values = told.changes.items.iter().map(|item| value(item, None)).collect();
-    Changes { revision: told.changes.revision, values, whole: told.whole, bundle: None }
+    Changes { revision: told.changes.revision, values, whole: told.is_snapshot, bundle: None }
 }
 
 /// Large items are packed one by one, which serves everybody who asks until they change; the others
 /// together.
-fn packed(state: &State, told: &Told) -> Changes {
-    let Told { changes, whole } = told;
+fn packed(state: &State, told: &PullResponse) -> Changes {
+    let PullResponse { changes, is_snapshot } = told;
     let (large, small): (Vec<&RawItem>, Vec<&RawItem>) =
         changes.items.iter().partition(|item| is_large(item));
     let mut packer = state.packer.borrow_mut();
     let mut values: Vec<ValueChange> =
         large.into_iter().map(|item| value(item, packer.pack(item))).collect();
     let small: Vec<ValueChange> = small.into_iter().map(|item| value(item, None)).collect();
-    let bundle = bundle_of(state, changes.revision, *whole, &small);
+    let bundle = bundle_of(state, changes.revision, *is_snapshot, &small);
     if bundle.is_none() {
         values.extend(small);
     }
-    Changes { revision: changes.revision, values, whole: *whole, bundle }
+    Changes { revision: changes.revision, values, whole: *is_snapshot, bundle }
 }
 
 fn is_large(item: &RawItem) -> bool {
-    item.content.as_ref().is_some_and(|content| content.len() >= PACK_FROM)
+    item.content.as_ref().is_some_and(|content| content.len() >= PACK_MIN_BYTES)
 }
 
 /// Small values packed together, unless they are few. Those who start together are told all at the same
--- a/crates/gateway/src/control/thread.rs
+++ b/crates/gateway/src/control/thread.rs
@@ -29,7 +29,7 @@
 use crate::control::telling::{TellCount, report_told};
 use crate::traffic::apply_rate_limit;
 use shallotfork_evacuation::Evacuations;
-use shallotfork_feed::{Archive, CatchUp, Feed, Packer, Uplink};
+use shallotfork_feed::{Archive, Feed, Packer, PullScheduler, Uplink};
 use shallotfork_fleet::FleetMember;
 
 /// Time to open a connection to an entry or to have an answer; shorter than the silence after which
@@ -179,7 +179,7 @@
         archive: RefCell::new(Archive::new()),
         packer: RefCell::new(Packer::new()),
         whole_bundle: RefCell::default(),
-        catch_up: RefCell::new(CatchUp::new()),
+        catch_up: RefCell::new(PullScheduler::new()),
         sources: RefCell::default(),
         told: TellCount::default(),
         uplink: RefCell::new(Uplink::new(context.settings.link)),
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -72,7 +72,7 @@
 /// When a port can't be bound, or a part of the process can't be started.
 pub fn run(program: Program) -> Result<()> {
     let Program { settings, dialect, feed, reload } = program;
-    let incarnation = Incarnation::started_at(unix_time_ms(), rand::rng().random());
+    let incarnation = Incarnation::from_start_time(unix_time_ms(), rand::rng().random());
     let log_config = LogConfig {
         vm: settings.vm.to_string(),
         incarnation: incarnation.to_string(),
--- a/crates/once/src/archive.rs
+++ b/crates/once/src/archive.rs
@@ -82,7 +82,7 @@
 
     /// Whole ledgers with the time they are still needed for, to be passed on by a holder that
     /// leaves as well.
-    pub fn to_pass_on(&self, now: Mono) -> Vec<SealedLedger> {
+    pub fn ledgers_to_forward(&self, now: Mono) -> Vec<SealedLedger> {
         let whole = self.ledgers.iter().filter(|held| held.missing.is_empty());
         whole.map(|held| held.with_time_left(now)).collect()
     }
--- a/crates/once/src/ledger.rs
+++ b/crates/once/src/ledger.rs
@@ -6,8 +6,8 @@
 use shallotfork_types::{IdempotencyKey, Incarnation, Mono, VmId};
 
 use crate::{
-    ClaimAnswer, ClaimId, Completion, CompletionAnswer, KeptAnswer, OnceConfig, SealedEnd,
-    SealedOperation, SealedSession, Session,
+    ClaimAnswer, ClaimId, Completion, CompletionAnswer, KeptAnswer, OnceConfig, SealedOperation,
+    SealedOutcome, SealedSession, Session,
 };
 
 /// What is known of one operation. Nothing ever goes back to "unknown" before the session ends.
@@ -205,11 +205,11 @@
 }
 
 fn sealed_operation((key, progress): (IdempotencyKey, Progress)) -> SealedOperation {
-    let end = match progress {
-        Progress::Running { .. } | Progress::Lost { .. } => SealedEnd::MayHaveRun,
-        Progress::Kept(answer) => SealedEnd::Kept(answer),
-        Progress::Ran => SealedEnd::Ran,
-        Progress::Closed => SealedEnd::NotRun,
+    let outcome = match progress {
+        Progress::Running { .. } | Progress::Lost { .. } => SealedOutcome::MayHaveRun,
+        Progress::Kept(answer) => SealedOutcome::Kept(answer),
+        Progress::Ran => SealedOutcome::Ran,
+        Progress::Closed => SealedOutcome::NotRun,
     };
-    SealedOperation { key, end }
+    SealedOperation { key, outcome }
 }
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -20,6 +20,6 @@
 pub use issuer::{Draining, Issuer, Open};
 pub use once_config::OnceConfig;
 pub use operation::{ClaimId, OperationId};
-pub use sealed::{LedgerPart, SealedEnd, SealedLedger, SealedOperation, SealedSession};
+pub use sealed::{LedgerPart, SealedLedger, SealedOperation, SealedOutcome, SealedSession};
 pub use secret::{SECRET_BYTES, Secret};
 pub use session::Session;
--- a/crates/once/src/sealed.rs
+++ b/crates/once/src/sealed.rs
@@ -12,7 +12,7 @@
 
 /// The final state of one operation.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SealedEnd {
+pub enum SealedOutcome {
     /// It ran; this is its answer.
     Kept(Arc<KeptAnswer>),
     /// It ran; its answer was not kept.
@@ -29,7 +29,7 @@
     /// The caller's name for the operation.
     pub key: IdempotencyKey,
     /// Its final state.
-    pub end: SealedEnd,
+    pub outcome: SealedOutcome,
 }
 
 /// The operations of one session in a sealed ledger.
@@ -93,17 +93,17 @@
         if self.sealed_at >= session.ends_at() {
             return ClaimAnswer::MayHaveRun;
         }
-        match self.end(session.serial(), operation.key()) {
-            Some(SealedEnd::Kept(answer)) => ClaimAnswer::Kept(Arc::clone(answer)),
-            Some(SealedEnd::Ran) => ClaimAnswer::Ran,
-            Some(SealedEnd::NotRun) | None => ClaimAnswer::NotRun,
-            Some(SealedEnd::MayHaveRun) => ClaimAnswer::MayHaveRun,
+        match self.outcome(session.serial(), operation.key()) {
+            Some(SealedOutcome::Kept(answer)) => ClaimAnswer::Kept(Arc::clone(answer)),
+            Some(SealedOutcome::Ran) => ClaimAnswer::Ran,
+            Some(SealedOutcome::NotRun) | None => ClaimAnswer::NotRun,
+            Some(SealedOutcome::MayHaveRun) => ClaimAnswer::MayHaveRun,
         }
     }
 
     /// Whether the ledger lists the operation itself.
     pub(crate) fn lists(&self, operation: &OperationId) -> bool {
-        self.end(operation.session().serial(), operation.key()).is_some()
+        self.outcome(operation.session().serial(), operation.key()).is_some()
     }
 
     /// Drops kept answers until those left fit; their operations stay known as run.
@@ -112,12 +112,12 @@
         let mut left_bytes = limit.value();
         let operations = self.sessions.iter_mut().flat_map(|session| &mut session.operations);
         for operation in operations {
-            let SealedEnd::Kept(answer) = &operation.end else {
+            let SealedOutcome::Kept(answer) = &operation.outcome else {
                 continue;
             };
             match left_bytes.checked_sub(answer.size_bytes()) {
                 Some(rest) => left_bytes = rest,
-                None => operation.end = SealedEnd::Ran,
+                None => operation.outcome = SealedOutcome::Ran,
             }
         }
         self
@@ -198,16 +198,16 @@
         operations.map(operation_bytes).sum()
     }
 
-    fn end(&self, serial: u64, key: &IdempotencyKey) -> Option<&SealedEnd> {
+    fn outcome(&self, serial: u64, key: &IdempotencyKey) -> Option<&SealedOutcome> {
         let session = find(&self.sessions, &serial, |session| &session.serial)?;
         let operation = find(&session.operations, key, |operation| &operation.key)?;
-        Some(&operation.end)
+        Some(&operation.outcome)
     }
 }
 
 fn operation_bytes(operation: &SealedOperation) -> u64 {
-    let answer_bytes = match &operation.end {
-        SealedEnd::Kept(answer) => answer.size_bytes(),
+    let answer_bytes = match &operation.outcome {
+        SealedOutcome::Kept(answer) => answer.size_bytes(),
         _ => 0,
     };
     OPERATION_OVERHEAD_BYTES + operation.key.as_str().len() as u64 + answer_bytes
--- a/crates/once/tests/ledger.rs
+++ b/crates/once/tests/ledger.rs
@@ -293,7 +293,7 @@
     first.add(fixture.issuer.drain(START).seal(START), START);
     let later = after(Duration::from_secs(400));
     let mut second = Archive::new(OnceConfig::new());
-    for ledger in first.to_pass_on(later) {
+    for ledger in first.ledgers_to_forward(later) {
         second.add(ledger, later);
     }
     assert_eq!(Some(ClaimAnswer::Ran), second.lookup(&operation));
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/wire.rs
@@ -6,8 +6,8 @@
 use capnp::{Error, Result};
 use shallotfork_measure::RateLimitReport;
 use shallotfork_once::{
-    ClaimAnswer, Completion, HeaderField, KeptAnswer, OperationId, SECRET_BYTES, SealedEnd,
-    SealedLedger, SealedOperation, SealedSession, Secret,
+    ClaimAnswer, Completion, HeaderField, KeptAnswer, OperationId, SECRET_BYTES, SealedLedger,
+    SealedOperation, SealedOutcome, SealedSession, Secret,
 };
 use shallotfork_quarantine::{CrashReport, QuarantineDigest, RequestFingerprint};
 use shallotfork_types::{
@@ -388,11 +388,11 @@
         let mut item = operations.reborrow().get(index);
         item.set_key(operation.key.as_str());
         let mut end = item.init_end();
-        match &operation.end {
-            SealedEnd::Kept(kept) => write_kept(kept, end.init_kept()),
-            SealedEnd::Ran => end.set_ran(()),
-            SealedEnd::NotRun => end.set_not_run(()),
-            SealedEnd::MayHaveRun => end.set_may_have_run(()),
+        match &operation.outcome {
+            SealedOutcome::Kept(kept) => write_kept(kept, end.init_kept()),
+            SealedOutcome::Ran => end.set_ran(()),
+            SealedOutcome::NotRun => end.set_not_run(()),
+            SealedOutcome::MayHaveRun => end.set_may_have_run(()),
         }
     }
 }
@@ -420,11 +420,11 @@
 fn read_sealed(from: schema::sealed_operation::Reader<'_>) -> Result<SealedOperation> {
     use schema::sealed_operation::end::Which;
     let key = IdempotencyKey::new(from.get_key()?.to_str()?).map_err(invalid)?;
-    let end = match from.get_end().which()? {
-        Which::Kept(kept) => SealedEnd::Kept(read_kept(kept?)?),
-        Which::Ran(()) => SealedEnd::Ran,
-        Which::NotRun(()) => SealedEnd::NotRun,
-        Which::MayHaveRun(()) => SealedEnd::MayHaveRun,
+    let outcome = match from.get_end().which()? {
+        Which::Kept(kept) => SealedOutcome::Kept(read_kept(kept?)?),
+        Which::Ran(()) => SealedOutcome::Ran,
+        Which::NotRun(()) => SealedOutcome::NotRun,
+        Which::MayHaveRun(()) => SealedOutcome::MayHaveRun,
     };
-    Ok(SealedOperation { key, end })
+    Ok(SealedOperation { key, outcome })
 }
--- a/crates/shallotd/src/control/ledger.rs
+++ b/crates/shallotd/src/control/ledger.rs
@@ -178,7 +178,7 @@
 
     /// The sealed ledgers held for entries that left.
     pub fn to_pass_on(&self, now: Mono) -> Vec<SealedLedger> {
-        self.archive.to_pass_on(now)
+        self.archive.ledgers_to_forward(now)
     }
 
     /// What a sealed ledger says of an operation; `None` when none of its issuer is held.
--- a/crates/shallotd/src/run.rs
+++ b/crates/shallotd/src/run.rs
@@ -157,7 +157,7 @@
     let bound = |listener: &StdListener| listener.local_addr().map(Endpoint::new);
     Ok(Identity {
         vm: settings.vm.id.clone(),
-        incarnation: Incarnation::started_at(unix_time_ms(), rand::rng().random()),
+        incarnation: Incarnation::from_start_time(unix_time_ms(), rand::rng().random()),
         failure_domain: settings.vm.failure_domain.clone(),
         callers: settings.callers.advertise.map_or_else(|| bound(&ports.callers), Ok)?,
         peers: settings.peers.advertise.map_or_else(|| bound(&ports.peers), Ok)?,
--- a/crates/types/src/key.rs
+++ b/crates/types/src/key.rs
@@ -66,7 +66,7 @@
 
     /// A run that starts at this wall-clock time, in Unix milliseconds; a number drawn by the caller
     /// tells two starts at the same time apart.
-    pub fn started_at(unix_ms: u64, drawn: u64) -> Self {
+    pub fn from_start_time(unix_ms: u64, drawn: u64) -> Self {
         let drawn_mask = (1 << DRAWN_BITS) - 1;
         Self((unix_ms << DRAWN_BITS) | (drawn & drawn_mask))
     }
