--- a/crates/feed/src/archive.rs
+++ b/crates/feed/src/archive.rs
@@ -1,4 +1,4 @@
-//! Published items as last seen, for entries that read them here instead of from the platform.
+//! Latest published items, kept so that other entries can pull them instead of reading the platform.
 
 use std::collections::BTreeMap;
 
@@ -6,55 +6,58 @@
 
 use crate::feed::{FeedChanges, RawItem};
 
-/// Removed items that are remembered. A peer that was away for longer reads everything anew.
-const REMOVED_MAX: usize = 1024;
+/// Maximum number of tombstones kept for removed items. When it is exceeded, all of them are dropped,
+/// and peers that are behind get a full snapshot.
+const TOMBSTONES_MAX: usize = 1024;
 
-/// The latest version of every item, and up to which revision this is complete.
+/// The latest version of every published item, and the revision up to which they are complete.
 ///
-/// A platform counts each call, and its rate grows more slowly than the fleet: a few entries read
-/// it, and all others ask these for what changed after the revision that they know.
+/// The platform meters each call, and the call rate it allows grows more slowly than the fleet.
+/// Therefore a few entries read the platform, and the others pull from them what changed after the
+/// revision that they already have.
 #[derive(Debug, Default)]
 pub struct Archive {
     items: BTreeMap<String, RawItem>,
-    removed: usize,
+    tombstones: usize,
     position: Revision,
-    /// Changes after this revision are all known; of earlier ones, removals may be missing.
-    floor: Revision,
+    /// All changes after this revision are known; removals up to it may be missing.
+    history_start: Revision,
 }
 
-/// What a peer is told.
+/// Response to an entry that pulls published items.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PullResponse {
-    /// Items changed after the revision that was asked for, or all.
+    /// Items changed after the requested revision, or all items of a snapshot.
     pub changes: FeedChanges,
-    /// Whether these are all items.
+    /// Whether the response contains all published items.
     pub is_snapshot: bool,
 }
 
 impl Archive {
-    /// Nothing is known.
+    /// Creates an empty archive.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Up to which revision everything is known; [`Revision::NONE`] before the first full read.
+    /// Returns the revision up to which all changes are known; [`Revision::NONE`] before the first
+    /// full read.
     pub fn position(&self) -> Revision {
         self.position
     }
 
-    /// Takes all items as of `revision`.
+    /// Replaces the items by a full read as of `revision`, but keeps items that changed after it.
     pub fn replace(&mut self, items: &[RawItem], revision: Revision) {
         let newer = std::mem::take(&mut self.items);
         let newer = newer.into_values().filter(|item| item.revision > revision);
         for item in items.iter().cloned().chain(newer) {
             self.items.insert(item.key.clone(), item);
         }
-        self.removed = self.items.values().filter(|item| item.content.is_none()).count();
-        self.floor = revision;
+        self.tombstones = self.items.values().filter(|item| item.content.is_none()).count();
+        self.history_start = revision;
         self.position = self.position.max(revision);
     }
 
-    /// Takes changes that follow on the position.
+    /// Applies an incremental read that continues from the current position.
     pub fn apply(&mut self, changes: &FeedChanges) {
         for item in &changes.items {
             let known = self.items.get(&item.key);
@@ -62,18 +65,18 @@
                 continue;
             }
             let old = self.items.insert(item.key.clone(), item.clone());
-            self.removed -= usize::from(old.is_some_and(|old| old.content.is_none()));
-            self.removed += usize::from(item.content.is_none());
+            self.tombstones -= usize::from(old.is_some_and(|old| old.content.is_none()));
+            self.tombstones += usize::from(item.content.is_none());
         }
         self.position = self.position.max(changes.revision);
-        if self.removed > REMOVED_MAX {
-            self.forget_removed();
+        if self.tombstones > TOMBSTONES_MAX {
+            self.drop_tombstones();
         }
     }
 
-    /// What changed after a revision; everything if that can't be told.
+    /// Returns the changes after `revision`, or a snapshot if removals since then may be missing.
     pub fn changes_after(&self, revision: Revision) -> PullResponse {
-        let is_snapshot = revision < self.floor || revision == Revision::NONE;
+        let is_snapshot = revision < self.history_start || revision == Revision::NONE;
         let mut items: Vec<RawItem> = self
             .items
             .values()
@@ -86,9 +89,9 @@
         PullResponse { changes: FeedChanges { items, revision: self.position }, is_snapshot }
     }
 
-    fn forget_removed(&mut self) {
+    fn drop_tombstones(&mut self) {
         self.items.retain(|_, item| item.content.is_some());
-        self.removed = 0;
-        self.floor = self.position;
+        self.tombstones = 0;
+        self.history_start = self.position;
     }
 }
--- a/crates/feed/src/check.rs
+++ b/crates/feed/src/check.rs
@@ -1,48 +1,49 @@
-//! Whether published items from another entry may be taken.
+//! Validation of published items pulled from another entry.
 
 use shallotfork_types::{Bytes, Revision};
 use thiserror::Error;
 
 use crate::archive::{Archive, PullResponse};
 
-/// Items that are taken at once: several times those of the largest platform.
+/// Maximum number of items accepted in one response; several times that of the largest platform.
 const ITEMS_MAX: usize = 100_000;
 
-/// Why what another entry told is not taken.
+/// Reason for rejecting a response to a pull.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PullError {
-    /// It ends before what is known here: the teller has lost its place, or the answer came late.
-    #[error("it ends at revision {received}, and {known} is known here")]
+    /// The response ends before the revision known here: the sender has fallen back to an earlier
+    /// revision, or the response was delayed.
+    #[error("response ends at revision {received}, but revision {known} is already known")]
     Older {
-        /// Where it ends.
+        /// Revision at which the response ends.
         received: Revision,
-        /// What is known.
+        /// Revision known here.
         known: Revision,
     },
-    /// It says that nothing is published, though something is.
-    #[error("it says that nothing is published")]
+    /// The response is a snapshot without items, although items are published.
+    #[error("snapshot contains no items")]
     Empty,
-    /// It has more items than any platform publishes.
-    #[error("it has {0} items, more than are taken at once")]
+    /// The response has more items than any platform publishes.
+    #[error("response has {0} items, which exceeds the limit")]
     TooMany(usize),
-    /// A packed item is not what it says, or too large.
-    #[error("an item can't be unpacked to {0} bytes")]
+    /// Packed content is invalid, differs from its stated size, or is too large.
+    #[error("packed content cannot be unpacked to its stated size of {0}")]
     BadPacked(Bytes),
     /// An item has no key, or revision zero.
-    #[error("an item has no key or no revision")]
+    #[error("item has an empty key or revision 0")]
     BadItem,
 }
 
 impl Archive {
-    /// Whether to take what another entry has told.
+    /// Validates a response from another entry before it is applied.
     ///
-    /// A list that is cut short or stale would end every target that it lacks, and the service would
-    /// have none until the next reading.
+    /// A truncated or stale list would remove every target missing from it, and the service would have
+    /// no targets until the next pull.
     ///
     /// # Errors
-    /// The reason, after which the items are to be asked for elsewhere.
-    pub fn check(&self, told: &PullResponse) -> Result<(), PullError> {
-        let PullResponse { changes, is_snapshot } = told;
+    /// Returns the reason for the rejection; the items then have to be pulled from another entry.
+    pub fn check(&self, response: &PullResponse) -> Result<(), PullError> {
+        let PullResponse { changes, is_snapshot } = response;
         let known = self.position();
         if changes.revision < known {
             return Err(PullError::Older { received: changes.revision, known });
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -1,4 +1,4 @@
-//! The interface to a platform that publishes items under keys.
+//! Interface to a platform that publishes items under keys.
 
 use std::fmt::Debug;
 use std::time::Duration;
@@ -10,101 +10,103 @@
 use shallotfork_types::Revision;
 use thiserror::Error;
 
-/// How old an answer may be.
+/// How old a response of the platform may be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Freshness {
-    /// As of the call.
+    /// Up to date as of the call.
     Latest,
-    /// Possibly seconds old; cheaper for the platform.
+    /// Possibly some seconds old; cheaper for the platform.
     MayBeStale,
 }
 
-/// One published item as it lies on the platform.
+/// One published item as stored on the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RawItem {
-    /// Its key.
+    /// Key of the item.
     pub key: String,
-    /// Revision of its last change.
+    /// Revision of the item's last change.
     pub revision: Revision,
-    /// Its bytes; `None` once it was removed.
+    /// Content of the item; `None` if it was removed.
     pub content: Option<Vec<u8>>,
 }
 
-/// Some of the items, in order of their keys.
+/// One page of published items, ordered by key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FeedPage {
-    /// The items.
+    /// Items of this page.
     pub items: Vec<RawItem>,
-    /// Revision of the platform when it answered; items of later pages may be newer.
+    /// Revision of the platform at the time of the response; items on later pages may be newer.
     pub revision: Revision,
-    /// The key after which the next page begins; `None` on the last one.
+    /// Key after which the next page begins; `None` on the last page.
     pub next_after: Option<String>,
 }
 
-/// What changed after a revision.
+/// Changes after a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FeedChanges {
-    /// Changed and removed items in the order of their revisions.
+    /// Changed and removed items, ordered by revision.
     pub items: Vec<RawItem>,
-    /// The revision from which to go on.
+    /// Revision after which the next incremental read continues.
     pub revision: Revision,
 }
 
-/// Why a call to the platform brought nothing.
+/// Why a call to the platform failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum FeedError {
-    /// No answer, or a broken connection.
-    #[error("the platform can't be reached: {0}")]
+    /// The platform did not respond, or the connection broke.
+    #[error("platform is unreachable: {0}")]
     Unreachable(String),
-    /// It answered that it can't serve now.
-    #[error("the platform turns this process away with status {0}")]
+    /// The platform rejected the call with this HTTP status.
+    #[error("platform rejected the call with status {0}")]
     Rejected(u16),
-    /// The changes after that revision are no longer kept.
-    #[error("the platform no longer keeps the changes after the revision")]
+    /// The platform no longer keeps the changes after the requested revision.
+    #[error("platform no longer keeps the changes after the requested revision")]
     HistoryLost,
-    /// The answer is not in the platform's protocol.
-    #[error("the platform's answer can't be read: {0}")]
+    /// The response does not follow the platform's protocol.
+    #[error("platform response is not readable: {0}")]
     Unreadable(String),
 }
 
-/// What an item says.
+/// Decoded content of a published item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decoded {
-    /// A table of routes.
+    /// A route table.
     Routes {
-        /// The table.
+        /// The decoded table.
         table: RouteTable,
-        /// What in it is not valid and was left out.
+        /// Descriptions of the invalid parts that were skipped.
         ignored: Vec<String>,
     },
-    /// A table of routes that can't be used; the one in force stays.
+    /// A route table that is unusable as a whole; the one in force stays.
     BadRoutes(String),
-    /// What became of a target's entry.
+    /// A change of a target's published item.
     Target {
-        /// The change.
+        /// The change to apply.
         change: Change,
-        /// What in the entry is not valid and was left out.
+        /// Description of an invalid part of the item that was skipped.
         ignored: Option<String>,
     },
-    /// What became of the evacuation of a failure domain.
+    /// A change of the evacuation of a failure domain.
     Evacuation(EvacuationChange),
-    /// A request to evacuate that can't be read.
+    /// An evacuation request that cannot be decoded.
     BadEvacuation {
-        /// Why.
+        /// Reason for the failure.
         reason: String,
-        /// The change, if the failure domain is known.
+        /// Change to apply, if the failure domain is known.
         change: Option<EvacuationChange>,
     },
-    /// Nothing that concerns this process.
+    /// An item that does not concern this process.
     Ignored,
 }
 
-/// Reads what is published. No call retries, waits or caches: that is decided by the caller, who also
-/// says after how much silence a call is given up. How long an answer takes as a whole depends on its
-/// size and on the link of the VM.
+/// Reads published items from a platform.
+///
+/// No call retries, waits or caches; that is up to the calling code. It also sets `silence_max`, the
+/// longest time without received data after which a call fails. The total duration of a response is
+/// not limited, since it depends on its size and on the link of the VM.
 #[async_trait]
 pub trait Feed: Debug + Send + Sync {
-    /// Reads the items whose keys come after `after`, or the first ones.
+    /// Reads the page of items whose keys sort after `after`, or the first page if it is `None`.
     async fn page(
         &self,
         after: Option<&str>,
@@ -112,8 +114,8 @@
         silence_max: Duration,
     ) -> Result<FeedPage, FeedError>;
 
-    /// Waits up to `wait` for items that changed after a revision; with none it answers empty. The
-    /// wait does not count as silence.
+    /// Waits up to `wait` for items that changed after a revision, and returns an empty response if
+    /// there are none. The wait does not count as silence.
     async fn changes(
         &self,
         after: Revision,
@@ -121,6 +123,6 @@
         silence_max: Duration,
     ) -> Result<FeedChanges, FeedError>;
 
-    /// Reads one item.
+    /// Decodes the content of one item.
     fn decode(&self, item: &RawItem) -> Decoded;
 }
--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -1,4 +1,4 @@
-//! A platform that publishes items under keys: how it is read, and what was read last.
+//! Reading of published items from the platform, and distribution of them between entries.
 
 mod archive;
 mod check;
--- a/crates/feed/src/pack.rs
+++ b/crates/feed/src/pack.rs
@@ -1,4 +1,4 @@
-//! Compressed contents of large items, for the way to other entries.
+//! Compression of large items for transfer between entries.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -11,12 +11,14 @@
 use crate::check::PullError;
 use crate::feed::RawItem;
 
-/// Smaller contents are not packed one by one.
+/// Contents smaller than this many bytes are not packed individually.
 pub const PACK_MIN_BYTES: usize = 4 * 1024;
-/// The largest content that is unpacked; several times what any platform holds under one key.
-const UNPACKED_MAX: Bytes = Bytes::from_mib(8);
+/// Maximum size of an unpacked content; several times the largest value that any platform stores under
+/// one key.
+const UNPACKED_SIZE_MAX: Bytes = Bytes::from_mib(8);
 
-/// Packs contents, each once for all entries that ask for it.
+/// Packs the contents of items and caches the result, so that each revision is packed only once for all
+/// entries that pull it.
 #[derive(Debug, Default)]
 pub struct Packer {
     by_key: BTreeMap<String, Packed>,
@@ -29,12 +31,13 @@
 }
 
 impl Packer {
-    /// Nothing is packed yet.
+    /// Creates a packer with an empty cache.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The packed content; `None` if the item is small, removed, or gets no smaller.
+    /// Returns the packed content; `None` if the item is small or removed, or if packing does not make
+    /// it smaller.
     pub fn pack(&mut self, item: &RawItem) -> Option<&[u8]> {
         let content = item.content.as_deref().filter(|content| content.len() >= PACK_MIN_BYTES);
         let Some(content) = content else {
@@ -51,22 +54,23 @@
     }
 }
 
-/// Packs one content; `None` if it is small or gets no smaller.
+/// Packs one content; `None` if it is small or packing does not make it smaller.
 pub fn pack(content: &[u8]) -> Option<Vec<u8>> {
     let packed = (content.len() >= PACK_MIN_BYTES).then(|| deflate(content))?;
     (packed.len() < content.len()).then_some(packed)
 }
 
-/// Undoes [`Packer::pack`] and [`pack`].
+/// Unpacks a content packed by [`Packer::pack`] or [`pack`].
 ///
 /// # Errors
-/// When the content is not a packed one of that size, or the size is larger than any content.
+/// Returns an error if the data does not unpack to exactly `size` bytes, or if `size` exceeds the
+/// maximum.
 pub fn unpack(packed: &[u8], size: Bytes) -> Result<Vec<u8>, PullError> {
-    if size > UNPACKED_MAX {
+    if size > UNPACKED_SIZE_MAX {
         return Err(PullError::BadPacked(size));
     }
     let mut content = Vec::new();
-    // One byte more than allowed, so that a longer content shows.
+    // Reads one byte more than `size`, so that a longer content is detected.
     let mut decoder = DeflateDecoder::new(packed).take(size.value() + 1);
     let read = decoder.read_to_end(&mut content);
     if read.is_err() || content.len() as u64 != size.value() {
--- a/crates/feed/src/pull_scheduler.rs
+++ b/crates/feed/src/pull_scheduler.rs
@@ -1,78 +1,79 @@
-//! When to read from another entry what it knows beyond this one.
+//! Scheduling of pulls from other entries that have newer published items.
 
 use std::time::Duration;
 
 use shallotfork_types::{Mono, Revision};
 
-/// How long one reading keeps others from beginning while nothing of its answer comes.
-const PATIENCE: Duration = Duration::from_millis(300);
+/// Time without received data after which a pull no longer prevents another one from beginning.
+const PULL_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Lets one reading begin at a time, near ones first.
+/// Limits pulls to one at a time and prefers entries in the own failure domain.
 ///
-/// All entries that know a change say so at about the same time, and one of them suffices. One in
-/// another failure domain is read from only if nobody near knows the change by the time that it takes
-/// to spread there: each change would cross once for every entry otherwise.
+/// All entries that have a change advertise it at about the same time, and pulling from one of them
+/// suffices. An entry in another failure domain is used only if the change has not reached the own
+/// domain within the time that propagation takes; otherwise each change would be transferred between
+/// domains once per entry.
 #[derive(Debug, Default)]
 pub struct PullScheduler {
-    /// When the reading in progress began, or a part of its answer came.
-    heard_at: Option<Mono>,
-    /// What a far entry was heard to know beyond this one, and when.
-    far: Option<(Revision, Mono)>,
+    /// Time of the start of the current pull, or of the last data received from it.
+    last_progress_at: Option<Mono>,
+    /// Newer revision advertised by an entry in another failure domain, and when it was received.
+    newer_elsewhere: Option<(Revision, Mono)>,
 }
 
 impl PullScheduler {
-    /// Nothing is being read.
+    /// Creates a scheduler without a running pull.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Whether a reading may begin now; it counts as begun if so.
+    /// Returns whether a pull may begin now, and if so records it as begun.
     ///
-    /// An entry that loses power while it is being read from does not answer any more, and its
-    /// connection does not break. Whoever went on waiting for it for the whole time of a long
-    /// transfer, 5 s, would go by the old routes and targets for as long, although all others tell
-    /// it that they know more. So another reading may begin when nothing more comes of one.
+    /// An entry that loses power during a pull stops responding without closing the connection.
+    /// Waiting for the full timeout of a long transfer, 5 s, would leave outdated routes and targets in
+    /// force for that time, although other entries advertise newer ones. Therefore another pull may
+    /// begin once the current one receives no more data.
     pub fn try_begin(&mut self, now: Mono) -> bool {
-        let busy = self.heard_at.is_some_and(|at| now.since(at) < PATIENCE);
-        if !busy {
-            self.heard_at = Some(now);
+        let in_progress = self.last_progress_at.is_some_and(|at| now.since(at) < PULL_IDLE_TIMEOUT);
+        if !in_progress {
+            self.last_progress_at = Some(now);
         }
-        !busy
+        !in_progress
     }
 
-    /// The reading goes on: a part of the answer has come.
+    /// Records that the current pull received a part of the response.
     pub fn record_progress(&mut self, now: Mono) {
-        if let Some(at) = &mut self.heard_at {
+        if let Some(at) = &mut self.last_progress_at {
             *at = now;
         }
     }
 
-    /// A reading has ended, with or without an answer.
+    /// Records that the current pull has ended, with or without a response.
     pub fn end(&mut self) {
-        self.heard_at = None;
+        self.last_progress_at = None;
     }
 
-    /// Whether a far entry was heard to know more than this one does now.
+    /// Returns whether an entry in another failure domain has advertised a revision after `own`.
     pub fn is_behind_other_domain(&self, own: Revision) -> bool {
-        self.far.is_some_and(|(known, _)| known > own)
+        self.newer_elsewhere.is_some_and(|(known, _)| known > own)
     }
 
-    /// A far entry knows everything up to `known`, and this one up to `own`; whether it should be
-    /// read from, since `spread` was not enough for the change to reach anybody near.
+    /// Records that an entry in another failure domain has revision `known`, and returns whether to pull
+    /// from it because the change has not reached the own domain within `propagation_time`.
     pub fn should_pull_from_other_domain(
         &mut self,
         known: Revision,
         own: Revision,
-        spread: Duration,
+        propagation_time: Duration,
         now: Mono,
     ) -> bool {
         if known <= own {
             return false;
         }
-        match self.far {
-            Some((missed, at)) if missed > own => now.since(at) >= spread,
+        match self.newer_elsewhere {
+            Some((missed, at)) if missed > own => now.since(at) >= propagation_time,
             _ => {
-                self.far = Some((known, now));
+                self.newer_elsewhere = Some((known, now));
                 false
             }
         }
--- a/crates/feed/tests/archive.rs
+++ b/crates/feed/tests/archive.rs
@@ -1,4 +1,4 @@
-//! What entries tell each other of published items.
+//! Exchange of published items between entries.
 
 use quickcheck::QuickCheck;
 use shallotfork_feed::{Archive, FeedChanges, PullError, PullResponse, RawItem};
@@ -13,39 +13,39 @@
     FeedChanges { items, revision: Revision::new(revision) }
 }
 
-fn first() -> Archive {
+fn archive() -> Archive {
     let mut archive = Archive::new();
     archive.replace(&[item(1, 3, Some("a")), item(2, 5, Some("b"))], Revision::new(6));
     archive
 }
 
 #[test]
-fn who_knows_nothing_is_told_everything() {
-    let told = first().changes_after(Revision::NONE);
-    assert!(told.is_snapshot);
-    assert_eq!(told.changes, changes(vec![item(1, 3, Some("a")), item(2, 5, Some("b"))], 6));
+fn pull_without_a_revision_returns_a_snapshot() {
+    let response = archive().changes_after(Revision::NONE);
+    assert!(response.is_snapshot);
+    assert_eq!(response.changes, changes(vec![item(1, 3, Some("a")), item(2, 5, Some("b"))], 6));
 }
 
-/// A server leaves while an entry can't read the platform. It must hear of the removal from the
-/// other entries, or it goes on sending requests there.
+/// Guards against a lost removal: an entry that is disconnected from the platform would go on sending
+/// requests to a removed target.
 #[test]
-fn who_knows_a_part_is_told_the_rest_with_removals() {
-    let mut archive = first();
+fn incremental_pull_includes_removals() {
+    let mut archive = archive();
     archive.apply(&changes(vec![item(1, 8, None)], 9));
-    let told = archive.changes_after(Revision::new(6));
-    assert!(!told.is_snapshot);
-    assert_eq!(told.changes, changes(vec![item(1, 8, None)], 9));
+    let response = archive.changes_after(Revision::new(6));
+    assert!(!response.is_snapshot);
+    assert_eq!(response.changes, changes(vec![item(1, 8, None)], 9));
 }
 
 #[test]
-fn who_was_away_for_too_long_is_told_everything() {
-    let told = first().changes_after(Revision::new(2));
-    assert!(told.is_snapshot);
+fn pull_before_the_retained_history_returns_a_snapshot() {
+    let response = archive().changes_after(Revision::new(2));
+    assert!(response.is_snapshot);
 }
 
 #[test]
-fn a_full_read_keeps_what_came_later_than_it() {
-    let mut archive = first();
+fn full_read_keeps_newer_changes() {
+    let mut archive = archive();
     archive.apply(&changes(vec![item(3, 9, Some("c"))], 9));
     archive.replace(&[item(1, 3, Some("a"))], Revision::new(7));
     let keys: Vec<String> = archive
@@ -59,15 +59,15 @@
     assert_eq!(archive.position(), Revision::new(9));
 }
 
-/// An entry that is told by another one, at whatever moments, ends with the same items.
+/// Pulls at arbitrary times leave an entry with the same items as the one it pulls from.
 #[test]
-fn a_follower_ends_with_the_same_items() {
+fn follower_converges_to_its_source() {
     fn property(steps: Vec<(u8, bool, bool)>) -> bool {
-        let (mut source, mut follower) = (first(), Archive::new());
-        for (revision, (key, removed, tell)) in (7..).zip(steps) {
+        let (mut source, mut follower) = (archive(), Archive::new());
+        for (revision, (key, removed, pull)) in (7..).zip(steps) {
             let content = if removed { None } else { Some("x") };
             source.apply(&changes(vec![item(key % 8, revision, content)], revision));
-            if tell {
+            if pull {
                 follow(&source, &mut follower);
             }
         }
@@ -78,32 +78,32 @@
 }
 
 fn follow(source: &Archive, follower: &mut Archive) {
-    let told = source.changes_after(follower.position());
-    if told.is_snapshot {
-        follower.replace(&told.changes.items, told.changes.revision);
+    let response = source.changes_after(follower.position());
+    if response.is_snapshot {
+        follower.replace(&response.changes.items, response.changes.revision);
     } else {
-        follower.apply(&told.changes);
+        follower.apply(&response.changes);
     }
 }
 
-/// An entry that has just started answers with nothing, or one that was paused with what it knew a
-/// minute ago. Taken as all there is, it would end every target, and each request would be refused.
+/// An entry that has just started responds without items, and one that was paused with items from a
+/// minute ago. Applying such a response would remove all targets and cause every request to be rejected.
 #[test]
-fn what_is_cut_short_or_older_is_not_taken() {
-    let archive = first();
-    let told = |items: Vec<RawItem>, revision: u64, is_snapshot: bool| {
+fn truncated_or_outdated_responses_are_rejected() {
+    let archive = archive();
+    let check = |items: Vec<RawItem>, revision: u64, is_snapshot: bool| {
         archive.check(&PullResponse { changes: changes(items, revision), is_snapshot })
     };
     let known = Revision::new(6);
-    assert_eq!(told(Vec::new(), 9, true), Err(PullError::Empty));
+    assert_eq!(check(Vec::new(), 9, true), Err(PullError::Empty));
     let older = PullError::Older { received: Revision::new(5), known };
-    assert_eq!(told(vec![item(1, 3, Some("a"))], 5, true), Err(older.clone()));
-    assert_eq!(told(Vec::new(), 5, false), Err(older));
-    assert_eq!(told(vec![item(1, 0, Some("a"))], 9, false), Err(PullError::BadItem));
+    assert_eq!(check(vec![item(1, 3, Some("a"))], 5, true), Err(older.clone()));
+    assert_eq!(check(Vec::new(), 5, false), Err(older));
+    assert_eq!(check(vec![item(1, 0, Some("a"))], 9, false), Err(PullError::BadItem));
     assert_eq!(
-        told(vec![item(3, 7, Some("c")); 100_001], 9, true),
+        check(vec![item(3, 7, Some("c")); 100_001], 9, true),
         Err(PullError::TooMany(100_001))
     );
-    assert_eq!(told(Vec::new(), 6, false), Ok(()));
-    assert_eq!(told(vec![item(1, 8, None)], 9, false), Ok(()));
+    assert_eq!(check(Vec::new(), 6, false), Ok(()));
+    assert_eq!(check(vec![item(1, 8, None)], 9, false), Ok(()));
 }
--- a/crates/feed/tests/pack.rs
+++ b/crates/feed/tests/pack.rs
@@ -1,4 +1,4 @@
-//! Compressed contents of large items.
+//! Compression of large items.
 
 use quickcheck::{QuickCheck, TestResult};
 use shallotfork_feed::{Packer, PullError, RawItem, unpack};
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn what_is_packed_is_unpacked_again() {
+fn packing_round_trips() {
     fn property(pattern: Vec<u8>, times: u16) -> TestResult {
         let content = pattern.repeat(usize::from(times));
         let mut packer = Packer::new();
@@ -30,33 +30,33 @@
     QuickCheck::new().tests(100).quickcheck(property as fn(Vec<u8>, u16) -> TestResult);
 }
 
-/// Guards against handing on the packed content of an older revision.
+/// Guards against forwarding the cached content of an older revision.
 #[test]
-fn a_new_revision_is_packed_anew() {
+fn new_revision_is_packed_again() {
     let mut packer = Packer::new();
     let (old, new) = (routes(2000), routes(3000));
     packer.pack(&item(3, old));
-    let packed = packer.pack(&item(4, new.clone())).expect("it is large");
+    let packed = packer.pack(&item(4, new.clone())).expect("large content is packed");
     assert_eq!(unpack(packed, size(&new)), Ok(new));
 }
 
 #[test]
-fn small_items_stay_as_they_are() {
+fn small_items_are_not_packed() {
     assert_eq!(Packer::new().pack(&item(3, routes(10))), None);
 }
 
-/// Guards against a peer that is broken: a content that is cut short, longer than it says, or that
-/// would fill the memory.
+/// Guards against a faulty peer whose content is truncated, does not match its stated size, or would
+/// exhaust memory when unpacked.
 #[test]
-fn a_content_that_is_not_what_it_says_is_refused() {
+fn mismatched_or_oversized_content_is_rejected() {
     let content = routes(2000);
     let mut packer = Packer::new();
-    let packed = packer.pack(&item(3, content.clone())).expect("it is large").to_vec();
-    let bad =
+    let packed = packer.pack(&item(3, content.clone())).expect("large content is packed").to_vec();
+    let assert_rejected =
         |packed: &[u8], size| assert_eq!(unpack(packed, size), Err(PullError::BadPacked(size)));
-    bad(&packed[..packed.len() / 2], size(&content));
-    bad(&packed, Bytes::new(size(&content).value() - 1));
-    bad(&packed, Bytes::new(size(&content).value() + 1));
-    bad(&content, size(&content));
-    bad(&packed, Bytes::from_mib(512));
+    assert_rejected(&packed[..packed.len() / 2], size(&content));
+    assert_rejected(&packed, Bytes::new(size(&content).value() - 1));
+    assert_rejected(&packed, Bytes::new(size(&content).value() + 1));
+    assert_rejected(&content, size(&content));
+    assert_rejected(&packed, Bytes::from_mib(512));
 }
--- a/crates/feed/tests/pull_scheduler.rs
+++ b/crates/feed/tests/pull_scheduler.rs
@@ -1,4 +1,4 @@
-//! When to read from another entry.
+//! Scheduling of pulls from other entries.
 
 use std::time::Duration;
 
@@ -9,73 +9,72 @@
     Mono::from_millis(ms)
 }
 
-/// Three entries say within 20 ms that they know a change. It is read once.
+/// Three entries advertise a change within 20 ms. It must be pulled only once.
 #[test]
-fn one_reading_at_a_time() {
-    let mut catch_up = PullScheduler::new();
-    assert!(catch_up.try_begin(at(0)));
-    assert!(!catch_up.try_begin(at(10)));
-    assert!(!catch_up.try_begin(at(20)));
-    catch_up.end();
-    assert!(catch_up.try_begin(at(30)));
+fn only_one_pull_runs_at_a_time() {
+    let mut pulls = PullScheduler::new();
+    assert!(pulls.try_begin(at(0)));
+    assert!(!pulls.try_begin(at(10)));
+    assert!(!pulls.try_begin(at(20)));
+    pulls.end();
+    assert!(pulls.try_begin(at(30)));
 }
 
-/// Routes change; the entry from which another one reads them loses power in the middle. The others
-/// go on telling it that they know more, but it waited for the lost one for 5 s, and answered 404 on
-/// a new route for 3 s.
+/// An entry loses power while another one pulls changed routes from it. The pulling entry waited 5 s
+/// for it although others advertised the change, and answered 404 on a new route for 3 s.
 #[test]
-fn a_reading_that_hangs_does_not_keep_others_from_beginning() {
-    let mut catch_up = PullScheduler::new();
-    assert!(catch_up.try_begin(at(0)));
-    assert!(!catch_up.try_begin(at(150)));
-    assert!(catch_up.try_begin(at(300)), "from another entry");
-    assert!(!catch_up.try_begin(at(310)));
+fn stalled_pull_does_not_block_the_next_one() {
+    let mut pulls = PullScheduler::new();
+    assert!(pulls.try_begin(at(0)));
+    assert!(!pulls.try_begin(at(150)));
+    assert!(pulls.try_begin(at(300)), "pull from another entry");
+    assert!(!pulls.try_begin(at(310)));
 }
 
-const SPREAD: Duration = Duration::from_millis(450);
+const PROPAGATION: Duration = Duration::from_millis(450);
 
-/// Each of 126 entries read each change from three others in three failure domains. It spreads within
-/// each of them as well from the one entry there that has it first.
+/// Each of 126 entries pulled every change from three others in three failure domains, although one
+/// entry per domain that has the change suffices to propagate it there.
 #[test]
-fn far_entries_are_read_from_only_if_nobody_near_knows() {
-    let mut catch_up = PullScheduler::new();
+fn other_domains_are_used_only_if_the_own_one_lacks_the_change() {
+    let mut pulls = PullScheduler::new();
     let revision = Revision::new;
-    assert!(!catch_up.should_pull_from_other_domain(revision(7), revision(6), SPREAD, at(0)));
+    assert!(!pulls.should_pull_from_other_domain(revision(7), revision(6), PROPAGATION, at(0)));
     assert!(
-        !catch_up.should_pull_from_other_domain(revision(7), revision(7), SPREAD, at(900)),
-        "heard nearby"
+        !pulls.should_pull_from_other_domain(revision(7), revision(7), PROPAGATION, at(900)),
+        "received within the own domain"
     );
-    assert!(!catch_up.should_pull_from_other_domain(revision(8), revision(7), SPREAD, at(1800)));
-    assert!(!catch_up.should_pull_from_other_domain(revision(9), revision(7), SPREAD, at(2000)));
+    assert!(!pulls.should_pull_from_other_domain(revision(8), revision(7), PROPAGATION, at(1800)));
+    assert!(!pulls.should_pull_from_other_domain(revision(9), revision(7), PROPAGATION, at(2000)));
     assert!(
-        catch_up.should_pull_from_other_domain(revision(9), revision(7), SPREAD, at(2250)),
-        "nobody near knows"
+        pulls.should_pull_from_other_domain(revision(9), revision(7), PROPAGATION, at(2250)),
+        "not received within the own domain"
     );
 }
 
-/// A change is known to one far entry; another one has not heard of it either. Each word of the one
-/// that is behind began the wait anew, so that the change was never read.
+/// One entry in another failure domain has a change and a second one there lacks it. Each message of the
+/// second one restarted the wait, so that the change was never pulled.
 #[test]
-fn a_far_entry_that_is_behind_does_not_hide_what_another_one_knows() {
-    let mut catch_up = PullScheduler::new();
+fn outdated_entry_elsewhere_does_not_restart_the_wait() {
+    let mut pulls = PullScheduler::new();
     let revision = Revision::new;
-    assert!(!catch_up.should_pull_from_other_domain(revision(9), revision(7), SPREAD, at(0)));
-    assert!(!catch_up.should_pull_from_other_domain(revision(7), revision(7), SPREAD, at(150)));
-    assert!(!catch_up.should_pull_from_other_domain(revision(9), revision(7), SPREAD, at(300)));
-    assert!(catch_up.is_behind_other_domain(revision(7)));
-    assert!(!catch_up.should_pull_from_other_domain(revision(7), revision(7), SPREAD, at(450)));
-    assert!(catch_up.should_pull_from_other_domain(revision(9), revision(7), SPREAD, at(600)));
+    assert!(!pulls.should_pull_from_other_domain(revision(9), revision(7), PROPAGATION, at(0)));
+    assert!(!pulls.should_pull_from_other_domain(revision(7), revision(7), PROPAGATION, at(150)));
+    assert!(!pulls.should_pull_from_other_domain(revision(9), revision(7), PROPAGATION, at(300)));
+    assert!(pulls.is_behind_other_domain(revision(7)));
+    assert!(!pulls.should_pull_from_other_domain(revision(7), revision(7), PROPAGATION, at(450)));
+    assert!(pulls.should_pull_from_other_domain(revision(9), revision(7), PROPAGATION, at(600)));
 }
 
-/// Guards against reading the same large table twice at a time: a second reading takes half of the
-/// link from the first.
+/// Guards against pulling the same large table twice at a time: a second pull takes half of the link
+/// from the first one.
 #[test]
-fn a_reading_that_goes_on_keeps_others_from_beginning() {
-    let mut catch_up = PullScheduler::new();
-    assert!(catch_up.try_begin(at(0)));
-    catch_up.record_progress(at(250));
-    assert!(!catch_up.try_begin(at(400)));
-    catch_up.record_progress(at(500));
-    assert!(!catch_up.try_begin(at(790)));
-    assert!(catch_up.try_begin(at(800)), "nothing has come for too long");
+fn progressing_pull_blocks_other_pulls() {
+    let mut pulls = PullScheduler::new();
+    assert!(pulls.try_begin(at(0)));
+    pulls.record_progress(at(250));
+    assert!(!pulls.try_begin(at(400)));
+    pulls.record_progress(at(500));
+    assert!(!pulls.try_begin(at(790)));
+    assert!(pulls.try_begin(at(800)), "no data received within the idle timeout");
 }
--- a/crates/feed/tests/uplink.rs
+++ b/crates/feed/tests/uplink.rs
@@ -1,4 +1,4 @@
-//! What an entry hands on over its own link.
+//! Limit on what an entry forwards over its own link.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 use shallotfork_types::{Bytes, BytesPerSecond, Mono};
 
 const LINK: BytesPerSecond = BytesPerSecond::new(1_000_000);
-const READERS_PER_MS: u64 = 2;
+const PULLS_PER_MS: u64 = 2;
 
-/// Bytes handed on in two seconds to entries that ask for so much all the time.
-fn handed_on(size: Bytes) -> u64 {
+/// Returns the bytes forwarded in two seconds while peers continuously pull items of this size.
+fn forwarded_bytes(size: Bytes) -> u64 {
     let mut uplink = Uplink::new(LINK);
     let mut bytes = 0;
-    for step in 0..2000 * READERS_PER_MS {
-        let now = Mono::from_millis(step / READERS_PER_MS);
+    for step in 0..2000 * PULLS_PER_MS {
+        let now = Mono::from_millis(step / PULLS_PER_MS);
         if !uplink.is_full(now) {
             uplink.record_sent(size, now);
             bytes += size.value();
@@ -22,22 +22,21 @@
     bytes
 }
 
-/// Guards against handing on more than the link carries beside requests, whatever the size of the
-/// items.
+/// Guards against forwarding so much that requests lack bandwidth, for items of any size.
 #[test]
-fn half_of_the_link_is_left_whatever_others_ask_for() {
+fn half_of_the_link_stays_free_for_requests() {
     for size in [300, 20_000, 70_000, 400_000] {
-        let bytes = handed_on(Bytes::new(size));
+        let bytes = forwarded_bytes(Bytes::new(size));
         let half = u64::from(LINK.value());
-        let one_more = half + size + half / 5;
-        assert!(bytes <= one_more, "{bytes} bytes in items of {size}");
+        let limit = half + size + half / 5;
+        assert!(bytes <= limit, "{bytes} bytes in items of {size}");
         assert!(bytes >= half - half / 10, "{bytes} bytes in items of {size}");
     }
 }
 
-/// Guards against an item that is larger than the whole allowance and would never be handed on.
+/// Guards against an item that exceeds the whole budget and would never be forwarded.
 #[test]
-fn an_item_of_any_size_is_handed_on_over_a_free_link() {
+fn idle_link_accepts_an_item_of_any_size() {
     let mut uplink = Uplink::new(LINK);
     let start = Mono::from_millis(10);
     assert!(!uplink.is_full(start));
