--- a/crates/once/examples/ledger_cost.rs
+++ b/crates/once/examples/ledger_cost.rs
@@ -1,7 +1,7 @@
-//! Prints what the ledger costs: processor time of each decision and memory of each operation.
+//! Measures the cost of the ledger: processor time per decision and memory per operation.
 //!
-//! `cargo run --release -p shallotfork-once --example ledger_cost`. Memory is the growth of the resident
-//! set, read from /proc/self/statm, so it holds the allocator's overhead too.
+//! Run with `cargo run --release -p shallotfork-once --example ledger_cost`. Memory is the growth of the
+//! resident set, read from /proc/self/statm, so it includes the overhead of the allocator.
 
 use std::error::Error;
 use std::hint::black_box;
@@ -13,34 +13,34 @@
 };
 use shallotfork_types::{Bytes, IdempotencyKey, Incarnation, Mono, VmId};
 
-type Outcome<T> = Result<T, Box<dyn Error>>;
+type BoxResult<T> = Result<T, Box<dyn Error>>;
 
 const SIZES: [usize; 3] = [10_000, 100_000, 400_000];
 const KEYS_PER_SESSION: usize = 4;
 const ANSWER_BYTES: usize = 256;
 const PAGE_BYTES: u64 = 4096;
 
-fn main() -> Outcome<()> {
+fn main() -> BoxResult<()> {
     for count in SIZES {
         measure(count)?;
     }
     Ok(())
 }
 
-fn measure(count: usize) -> Outcome<()> {
+fn measure(count: usize) -> BoxResult<()> {
     let mut issuer = issuer()?;
     let operations = operations(&mut issuer, count)?;
     let claim = ClaimId::new(VmId::new("kalgoorlie-4")?, Incarnation::new(2), 1);
     println!("{count} operations, {KEYS_PER_SESSION} in each session");
 
-    let before = resident_bytes()?;
+    let initial_bytes = resident_bytes()?;
     timed("claim", count, || {
         for operation in &operations {
             black_box(issuer.claim(operation, &claim, Mono::ZERO));
         }
     });
-    let granted = resident_bytes()?;
-    println!("  granted: {} B of memory each", (granted - before) / count as u64);
+    let granted_bytes = resident_bytes()?;
+    println!("  granted: {} B of memory each", (granted_bytes - initial_bytes) / count as u64);
     timed("complete", count, || {
         for operation in &operations {
             let body = vec![b'x'; ANSWER_BYTES];
@@ -49,22 +49,25 @@
             black_box(issuer.complete(operation, &claim, completion, Mono::ZERO));
         }
     });
-    let kept = resident_bytes()?;
-    println!("  answer of {ANSWER_BYTES} B kept: {} B more", (kept - granted) / count as u64);
+    let kept_bytes = resident_bytes()?;
+    println!(
+        "  answer of {ANSWER_BYTES} B kept: {} B more",
+        (kept_bytes - granted_bytes) / count as u64
+    );
     timed("repeat", count, || {
         for operation in &operations {
             black_box(issuer.claim(operation, &claim, Mono::ZERO));
         }
     });
-    let began = Instant::now();
+    let started_at = Instant::now();
     let sealed = issuer.drain(Mono::ZERO).seal(Mono::ZERO);
-    println!("  seal: {:.1} ms", began.elapsed().as_secs_f64() * 1e3);
+    println!("  seal: {:.1} ms", started_at.elapsed().as_secs_f64() * 1e3);
     let mut archive = Archive::new(config());
-    let began = Instant::now();
+    let started_at = Instant::now();
     for part in sealed.into_parts(Bytes::from_kib(512)) {
         archive.add_part(part, Mono::ZERO);
     }
-    println!("  archive in parts: {:.1} ms", began.elapsed().as_secs_f64() * 1e3);
+    println!("  archive in parts: {:.1} ms", started_at.elapsed().as_secs_f64() * 1e3);
     timed("lookup", count, || {
         for operation in &operations {
             black_box(archive.lookup(operation));
@@ -73,10 +76,10 @@
     Ok(())
 }
 
-fn timed(what: &str, count: usize, run: impl FnOnce()) {
-    let began = Instant::now();
+fn timed(step: &str, count: usize, run: impl FnOnce()) {
+    let started_at = Instant::now();
     run();
-    println!("  {what}: {:.2} us", began.elapsed().as_secs_f64() * 1e6 / count as f64);
+    println!("  {step}: {:.2} us", started_at.elapsed().as_secs_f64() * 1e6 / count as f64);
 }
 
 fn config() -> OnceConfig {
@@ -88,17 +91,17 @@
     }
 }
 
-fn issuer() -> Outcome<Issuer<Open>> {
+fn issuer() -> BoxResult<Issuer<Open>> {
     let vm = VmId::new("kalgoorlie-3")?;
     Ok(Issuer::new(vm, Incarnation::new(1), Secret::new([1; 32]), config()))
 }
 
-fn operations(issuer: &mut Issuer<Open>, count: usize) -> Outcome<Vec<OperationId>> {
-    let began = Instant::now();
+fn operations(issuer: &mut Issuer<Open>, count: usize) -> BoxResult<Vec<OperationId>> {
+    let started_at = Instant::now();
     let sessions: Vec<_> =
         (0..count / KEYS_PER_SESSION).map(|_| issuer.issue(Mono::ZERO)).collect();
-    let each_us = began.elapsed().as_secs_f64() * 1e6 / sessions.len() as f64;
-    println!("issue: {each_us:.2} us a session");
+    let us_per_session = started_at.elapsed().as_secs_f64() * 1e6 / sessions.len() as f64;
+    println!("issue: {us_per_session:.2} us a session");
     let mut operations = Vec::with_capacity(count);
     for session in sessions {
         for number in 0..KEYS_PER_SESSION {
@@ -109,7 +112,7 @@
     Ok(operations)
 }
 
-fn resident_bytes() -> Outcome<u64> {
+fn resident_bytes() -> BoxResult<u64> {
     let statm = std::fs::read_to_string("/proc/self/statm")?;
     let resident = statm.split_whitespace().nth(1).ok_or("no resident size")?;
     Ok(resident.parse::<u64>()? * PAGE_BYTES)
--- a/crates/once/src/answer.rs
+++ b/crates/once/src/answer.rs
@@ -1,32 +1,32 @@
-//! What an issuer or archive answers, and what an executor reports back.
+//! Answers of issuers and archives, and completions reported by executors.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use shallotfork_types::Verdict;
 
-/// One header line of a kept answer.
+/// One header field of a kept answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeaderField {
-    /// Name of the field.
+    /// Name of the header field.
     pub name: String,
-    /// Value of the field; not always valid UTF-8.
+    /// Value of the header field; not necessarily valid UTF-8.
     pub value: Vec<u8>,
 }
 
-/// A target's whole answer, kept for repeats of the operation.
+/// The complete response of a target, kept for repeats of the operation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeptAnswer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// End-to-end header fields.
     pub headers: Vec<HeaderField>,
-    /// The whole body.
+    /// Complete response body.
     pub body: Vec<u8>,
 }
 
 impl KeptAnswer {
-    /// Bytes of body and headers.
+    /// Returns the size of the body and header fields in bytes.
     pub fn size_bytes(&self) -> u64 {
         let headers: usize = self.headers.iter().map(|h| h.name.len() + h.value.len()).sum();
         (headers + self.body.len()) as u64
@@ -36,30 +36,31 @@
 /// The answer to a claim, a close or a lookup.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimAnswer {
-    /// The claimant, and nobody else ever, may run the operation.
+    /// The claimant may run the operation; no other claim of it is ever granted.
     Granted,
-    /// Somebody holds the grant and has not reported an end.
+    /// The operation is granted, and the holder of the grant has not reported its completion.
     InProgress,
-    /// The operation ran; this is its answer.
+    /// The operation ran; the kept answer is returned.
     Kept(Arc<KeptAnswer>),
     /// The operation ran; its answer was not kept.
     Ran,
     /// The operation has not run and never will under this session and key.
     NotRun,
-    /// Nobody knows: the session expired or belongs to another incarnation, or the executor died.
+    /// The outcome is unknown: the session expired or belongs to another incarnation, or the executor
+    /// died.
     MayHaveRun,
-    /// The ledger has no room, so the operation has not run and never will under this session and
-    /// key; a new session can be used after the wait.
+    /// The ledger is full, so the operation has not run and never will under this session and key; the
+    /// caller can use a new session after `retry_after`.
     Full {
-        /// Time until the ledger is likely to have room.
+        /// Time until the ledger is expected to have capacity again.
         retry_after: Duration,
     },
-    /// The issuer did not sign this session, so nothing ever ran under it or will.
+    /// The session was not signed by the issuer, so no operation ever ran under it or will.
     BadSession,
 }
 
 impl ClaimAnswer {
-    /// What the answer says about the operation; `None` for a grant, which says "run it".
+    /// Returns whether the operation ran; `None` for a grant, as the claimant has yet to run it.
     pub fn verdict(&self) -> Option<Verdict> {
         match self {
             Self::Granted => None,
@@ -70,24 +71,24 @@
     }
 }
 
-/// What the holder of a grant reports about the operation.
+/// Outcome of an operation, as reported by the holder of its grant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Completion {
-    /// It ran; the answer is worth keeping.
+    /// The operation ran; its answer can be kept for repeats.
     Ran(Arc<KeptAnswer>),
-    /// It ran; the answer is too large to pass on.
+    /// The operation ran; its answer is too large to forward to the issuer.
     RanUnkept,
-    /// It has not run, and the holder gives up the grant for good.
+    /// The operation has not run, and the holder permanently gives up the grant.
     NotRun,
-    /// It may have run; the holder gives up the grant for good.
+    /// The operation may have run; the holder permanently gives up the grant.
     MayHaveRun,
 }
 
 /// Whether a completion changed the ledger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CompletionAnswer {
-    /// The ledger holds the reported end.
+    /// The ledger has recorded the reported outcome.
     Recorded,
-    /// The reporter does not hold the grant, or the session has expired.
+    /// The completion has no effect: the reporter does not hold the grant, or the session has expired.
     Ignored,
 }
--- a/crates/once/src/archive.rs
+++ b/crates/once/src/archive.rs
@@ -1,4 +1,4 @@
-//! Sealed ledgers of issuers that left, held by their peers.
+//! Archive of sealed ledgers of issuers that have left, held by their peers.
 
 use std::collections::BTreeSet;
 
@@ -6,20 +6,21 @@
 
 use crate::{ClaimAnswer, LedgerPart, OnceConfig, OperationId, SealedLedger};
 
-/// More parts than any ledger within its own limits is cut into.
+/// Maximum number of parts of one ledger; a ledger within its own limits has fewer.
 const PARTS_MAX: u32 = 4096;
 
 #[derive(Debug)]
 struct Archived {
     ledger: SealedLedger,
-    /// Parts still to come; until then an operation that is not listed may be in one of them.
-    missing: BTreeSet<u32>,
+    /// Indexes of parts not received yet; an operation that is not listed may be in one of them.
+    missing_parts: BTreeSet<u32>,
     size_bytes: u64,
-    /// On this process's own clock.
+    /// Time on this process's clock after which the ledger is dropped.
     drop_at: Mono,
 }
 
-/// Ledgers that this process answers for; bounded, and dropped once all their sessions ended.
+/// Sealed ledgers for which this process answers lookups. Their number and size are limited, and each is
+/// dropped once all its sessions have ended.
 #[derive(Debug)]
 pub struct Archive {
     config: OnceConfig,
@@ -27,18 +28,19 @@
 }
 
 impl Archive {
-    /// Starts empty.
+    /// Creates an empty archive.
     pub fn new(config: OnceConfig) -> Self {
         Self { config, ledgers: Vec::new() }
     }
 
-    /// Takes a whole ledger; `false` when there is no room, so that the departing VM asks another
-    /// peer.
+    /// Adds a complete ledger. Returns `false` if it exceeds the limits, so that the departing VM tries
+    /// another peer.
     pub fn add(&mut self, ledger: SealedLedger, now: Mono) -> bool {
         self.add_part(LedgerPart { index: 0, count: 1, ledger }, now)
     }
 
-    /// Takes one part of a ledger, in any order; `false` when there is no room or it is not valid.
+    /// Adds one part of a ledger; parts may arrive in any order. Returns `false` if the part is invalid or
+    /// exceeds the limits.
     pub fn add_part(&mut self, part: LedgerPart, now: Mono) -> bool {
         self.expire(now);
         let part_bytes = part.ledger.size_bytes();
@@ -48,17 +50,17 @@
             return false;
         }
         let (vm, incarnation) = (&part.ledger.vm, part.ledger.incarnation);
-        let Some(held) = self.find_mut(vm, incarnation) else {
-            return self.begin(part, now);
+        let Some(archived) = self.find_mut(vm, incarnation) else {
+            return self.add_first_part(part, now);
         };
-        if held.missing.remove(&part.index) {
-            held.size_bytes += part_bytes;
-            held.ledger.merge(part.ledger.sessions);
+        if archived.missing_parts.remove(&part.index) {
+            archived.size_bytes += part_bytes;
+            archived.ledger.merge(part.ledger.sessions);
         }
         true
     }
 
-    fn begin(&mut self, part: LedgerPart, now: Mono) -> bool {
+    fn add_first_part(&mut self, part: LedgerPart, now: Mono) -> bool {
         if self.ledgers.len() >= self.config.archived_ledgers_max {
             return false;
         }
@@ -67,61 +69,62 @@
         let sessions = std::mem::take(&mut ledger.sessions);
         let drop_at = now.plus(ledger.session_lifetime);
         ledger.merge(sessions);
-        let missing = (0..part.count).filter(|index| *index != part.index).collect();
-        self.ledgers.push(Archived { ledger, missing, size_bytes, drop_at });
+        let missing_parts = (0..part.count).filter(|index| *index != part.index).collect();
+        self.ledgers.push(Archived { ledger, missing_parts, size_bytes, drop_at });
         true
     }
 
-    /// What the issuer that left would answer; `None` when that is not known here.
+    /// Returns the answer that the departed issuer would give; `None` if it is not known here.
     pub fn lookup(&self, operation: &OperationId) -> Option<ClaimAnswer> {
         let session = operation.session();
-        let held = self.find(session.issuer(), session.incarnation())?;
-        let whole = held.missing.is_empty();
-        (whole || held.ledger.lists(operation)).then(|| held.ledger.lookup(operation))
+        let archived = self.find(session.issuer(), session.incarnation())?;
+        let is_complete = archived.missing_parts.is_empty();
+        (is_complete || archived.ledger.contains(operation))
+            .then(|| archived.ledger.lookup(operation))
     }
 
-    /// Whole ledgers with the time they are still needed for, to be passed on by a holder that
-    /// leaves as well.
+    /// Returns the complete ledgers with their remaining lifetimes, so that a holder that leaves too can
+    /// forward them.
     pub fn ledgers_to_forward(&self, now: Mono) -> Vec<SealedLedger> {
-        let whole = self.ledgers.iter().filter(|held| held.missing.is_empty());
-        whole.map(|held| held.with_time_left(now)).collect()
+        let complete = self.ledgers.iter().filter(|archived| archived.missing_parts.is_empty());
+        complete.map(|archived| archived.with_remaining_lifetime(now)).collect()
     }
 
-    /// Drops ledgers whose sessions have all ended.
+    /// Drops the ledgers whose sessions have all ended.
     pub fn expire(&mut self, now: Mono) {
-        self.ledgers.retain(|held| now < held.drop_at);
+        self.ledgers.retain(|archived| now < archived.drop_at);
     }
 
-    /// Number of ledgers held.
+    /// Returns the number of ledgers held.
     pub fn len(&self) -> usize {
         self.ledgers.len()
     }
 
-    /// Whether no ledger is held.
+    /// Returns whether no ledger is held.
     pub fn is_empty(&self) -> bool {
         self.ledgers.is_empty()
     }
 
     fn size_bytes(&self) -> u64 {
-        self.ledgers.iter().map(|held| held.size_bytes).sum()
+        self.ledgers.iter().map(|archived| archived.size_bytes).sum()
     }
 
     fn find(&self, vm: &VmId, incarnation: Incarnation) -> Option<&Archived> {
-        self.ledgers.iter().find(|held| held.is_of(vm, incarnation))
+        self.ledgers.iter().find(|archived| archived.is_from(vm, incarnation))
     }
 
     fn find_mut(&mut self, vm: &VmId, incarnation: Incarnation) -> Option<&mut Archived> {
-        self.ledgers.iter_mut().find(|held| held.is_of(vm, incarnation))
+        self.ledgers.iter_mut().find(|archived| archived.is_from(vm, incarnation))
     }
 }
 
 impl Archived {
-    fn with_time_left(&self, now: Mono) -> SealedLedger {
+    fn with_remaining_lifetime(&self, now: Mono) -> SealedLedger {
         let session_lifetime = self.drop_at.since(now);
         SealedLedger { session_lifetime, ..self.ledger.clone() }
     }
 
-    fn is_of(&self, vm: &VmId, incarnation: Incarnation) -> bool {
+    fn is_from(&self, vm: &VmId, incarnation: Incarnation) -> bool {
         &self.ledger.vm == vm && self.ledger.incarnation == incarnation
     }
 }
--- a/crates/once/src/issuer.rs
+++ b/crates/once/src/issuer.rs
@@ -1,4 +1,4 @@
-//! The one process that may grant operations of the sessions it issued.
+//! Issuer of sessions: the only process that may grant operations of the sessions it issued.
 
 use std::time::Duration;
 
@@ -10,20 +10,20 @@
     Secret, Session,
 };
 
-/// The issuer grants operations.
+/// Phase of an issuer that grants operations.
 #[derive(Debug)]
 pub struct Open;
 
-/// The issuer grants nothing new; granted operations may still complete.
+/// Phase of an issuer that grants no further operations; granted operations may still complete.
 #[derive(Debug)]
 pub struct Draining {
-    since: Mono,
+    started_at: Mono,
 }
 
 /// Sessions and ledger of one incarnation of one VM.
 ///
-/// An issuer is never rebuilt: after a restart there is a new one with a new incarnation, and
-/// whatever the old one granted is answered as may-have-run.
+/// An issuer is never restored after a restart: the new process has a new issuer with a new
+/// incarnation, and operations of the old one are answered as may-have-run.
 #[derive(Debug)]
 pub struct Issuer<Phase> {
     vm: VmId,
@@ -32,13 +32,14 @@
     config: OnceConfig,
     ledger: Ledger,
     last_serial: u64,
-    /// No unknown key of a session up to this serial is ever granted.
+    /// Unknown keys of sessions up to this serial are never granted.
     closed_through: u64,
     phase: Phase,
 }
 
 impl Issuer<Open> {
-    /// Starts with an empty ledger. `incarnation` and `secret` are drawn at random by the caller.
+    /// Creates an issuer with an empty ledger. The calling code draws `incarnation` and `secret` at
+    /// random.
     pub fn new(vm: VmId, incarnation: Incarnation, secret: Secret, config: OnceConfig) -> Self {
         Self {
             vm,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Issues a session; it costs no memory until a key of it is claimed or closed.
+    /// Issues a session. A session uses no memory until one of its keys is claimed or closed.
     pub fn issue(&mut self, now: Mono) -> Session {
         self.last_serial += 1;
         Session::new(
@@ -65,42 +66,43 @@
         )
     }
 
-    /// Grants the operation if its key was never claimed or closed, else says what is known.
+    /// Grants the operation if its key was never claimed or closed; otherwise returns its known state.
     ///
-    /// A key refused for want of room must stay refused: another copy of the request may be held
-    /// by a paused entry and arrive when there is room again, after the caller was told that
-    /// nothing ran. A session over its own limit stays so until it ends, as it forgets nothing
-    /// before. A full ledger gets room again when old sessions end, so its refusal closes every
-    /// session issued so far, which takes one number; a caller goes on with a new session.
+    /// A key rejected because the ledger is full must stay rejected: a paused entry may hold another
+    /// copy of the request and claim it once there is capacity again, after the caller was told that
+    /// the operation did not run. A session at its own limit stays there until it ends, as its
+    /// operations are kept until then. A full ledger regains capacity when old sessions end, so its
+    /// rejection closes every session issued so far, for which storing one serial is enough; the
+    /// caller continues with a new session.
     pub fn claim(&mut self, operation: &OperationId, claim: &ClaimId, now: Mono) -> ClaimAnswer {
-        if let Some(answer) = self.known(operation, now) {
+        if let Some(answer) = self.known_answer(operation, now) {
             return answer;
         }
         let (session, key) = (operation.session(), operation.key());
-        if self.is_used_up(session) {
+        if self.is_at_operation_limit(session) {
             return ClaimAnswer::Full { retry_after: Duration::ZERO };
         }
         if !self.has_room() {
             self.closed_through = self.last_serial;
-            return ClaimAnswer::Full { retry_after: self.time_to_room(now) };
+            return ClaimAnswer::Full { retry_after: self.time_until_capacity(now) };
         }
         self.ledger.grant(session, key, claim, now);
         ClaimAnswer::Granted
     }
 
-    /// Makes sure that the operation never runs, unless it was granted to somebody else.
+    /// Ensures that the operation never runs, unless it was granted to another claim.
     ///
-    /// An entry calls this before it tells a caller that a keyed operation was not run; the
-    /// closer vouches that its own `claim` has not led to a run and never will. A full ledger
-    /// has no room for a tombstone and closes every session issued so far in its place.
+    /// An entry calls this before it tells a caller that a keyed operation was not run; it
+    /// guarantees that its own `claim` has not led to a run and never will. A full ledger has no
+    /// capacity for a tombstone and closes every session issued so far instead.
     pub fn close(&mut self, operation: &OperationId, claim: &ClaimId, now: Mono) -> ClaimAnswer {
-        if self.give_up(operation, claim, now) {
+        if self.release_grant(operation, claim, now) {
             return ClaimAnswer::NotRun;
         }
-        if let Some(answer) = self.known(operation, now) {
+        if let Some(answer) = self.known_answer(operation, now) {
             return answer;
         }
-        if self.is_used_up(operation.session()) {
+        if self.is_at_operation_limit(operation.session()) {
             return ClaimAnswer::NotRun;
         }
         if self.has_room() {
@@ -111,17 +113,17 @@
         ClaimAnswer::NotRun
     }
 
-    /// Whether the session has named as many operations as it may, which lasts until it ends.
-    fn is_used_up(&self, session: &Session) -> bool {
+    /// Returns whether the session has reached its operation limit, where it stays until it ends.
+    fn is_at_operation_limit(&self, session: &Session) -> bool {
         self.ledger.operations_of(session) >= self.config.operations_per_session_max
     }
 
-    /// Whether another operation would be granted.
+    /// Returns whether the ledger has capacity for another operation.
     pub fn has_room(&self) -> bool {
         self.ledger.operations() < self.config.operations_max
     }
 
-    /// Stops granting for good: the first step of a planned stop.
+    /// Permanently stops granting operations, which is the first step of a planned stop.
     pub fn drain(self, now: Mono) -> Issuer<Draining> {
         Issuer {
             vm: self.vm,
@@ -131,35 +133,35 @@
             ledger: self.ledger,
             last_serial: self.last_serial,
             closed_through: self.last_serial,
-            phase: Draining { since: now },
+            phase: Draining { started_at: now },
         }
     }
 
-    fn time_to_room(&self, now: Mono) -> Duration {
-        self.ledger.next_end().map_or(Duration::ZERO, |end| end.since(now))
+    fn time_until_capacity(&self, now: Mono) -> Duration {
+        self.ledger.next_session_end().map_or(Duration::ZERO, |ends_at| ends_at.since(now))
     }
 }
 
 impl Issuer<Draining> {
-    /// Says what is known of the operation; an unknown one never runs.
+    /// Returns the known state of the operation; an unknown operation never runs.
     pub fn claim(&mut self, operation: &OperationId, now: Mono) -> ClaimAnswer {
-        self.known(operation, now).unwrap_or(ClaimAnswer::NotRun)
+        self.known_answer(operation, now).unwrap_or(ClaimAnswer::NotRun)
     }
 
-    /// Gives up the closer's own grant, if it holds it, and says what is known.
+    /// Releases the grant if `claim` holds it, and returns the known state of the operation.
     pub fn close(&mut self, operation: &OperationId, claim: &ClaimId, now: Mono) -> ClaimAnswer {
-        if self.give_up(operation, claim, now) {
+        if self.release_grant(operation, claim, now) {
             return ClaimAnswer::NotRun;
         }
         self.claim(operation, now)
     }
 
-    /// Whether every granted operation has ended, or `grace` has passed since draining began.
+    /// Returns whether every granted operation has completed, or `grace` has passed since draining began.
     pub fn is_ready_to_seal(&self, grace: Duration, now: Mono) -> bool {
-        self.ledger.running() == 0 || now.since(self.phase.since) >= grace
+        self.ledger.running() == 0 || now.since(self.phase.started_at) >= grace
     }
 
-    /// Fixes the ledger for good; what still runs becomes may-have-run.
+    /// Makes the ledger final; operations that are still running become may-have-run.
     pub fn seal(mut self, now: Mono) -> SealedLedger {
         self.expire(now);
         SealedLedger {
@@ -174,12 +176,12 @@
 }
 
 impl<Phase> Issuer<Phase> {
-    /// The run of the process that this issuer lives and dies with.
+    /// Returns the incarnation of the process that owns this issuer.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Records the end of a granted operation, as reported by the holder of the grant.
+    /// Records the completion of a granted operation, as reported by the holder of the grant.
     pub fn complete(
         &mut self,
         operation: &OperationId,
@@ -187,44 +189,45 @@
         completion: Completion,
         now: Mono,
     ) -> CompletionAnswer {
-        if self.refusal(operation.session(), now).is_some() {
+        if self.invalid_session_answer(operation.session(), now).is_some() {
             return CompletionAnswer::Ignored;
         }
         let (session, key) = (operation.session(), operation.key());
         self.ledger.complete(session, key, claim, completion, &self.config)
     }
 
-    /// Marks what a dead process was running as may-have-run; nothing of it is granted again.
+    /// Marks the operations that a dead process was running as may-have-run; they are never granted
+    /// again.
     pub fn executor_lost(&mut self, executor: &VmId, incarnation: Incarnation) {
         self.ledger.executor_lost(executor, incarnation);
     }
 
-    /// Forgets sessions that have ended.
+    /// Removes sessions that have ended.
     pub fn expire(&mut self, now: Mono) {
         self.ledger.expire(now);
     }
 
-    /// Number of operations remembered.
+    /// Returns the number of operations in the ledger.
     pub fn operations(&self) -> usize {
         self.ledger.operations()
     }
 
-    /// Number of operations granted and not yet ended.
+    /// Returns the number of operations that are granted and not completed.
     pub fn running(&self) -> usize {
         self.ledger.running()
     }
 
-    /// Bytes of answers kept for repeats.
+    /// Returns the size of the answers kept for repeats, in bytes.
     pub fn kept_bytes(&self) -> u64 {
         self.ledger.kept_bytes()
     }
 
-    /// The answer for an operation that needs no decision.
-    fn known(&mut self, operation: &OperationId, now: Mono) -> Option<ClaimAnswer> {
+    /// Returns the answer for an operation whose state is already decided.
+    fn known_answer(&mut self, operation: &OperationId, now: Mono) -> Option<ClaimAnswer> {
         self.expire(now);
         let (session, key) = (operation.session(), operation.key());
-        if let Some(refusal) = self.refusal(session, now) {
-            return Some(refusal);
+        if let Some(answer) = self.invalid_session_answer(session, now) {
+            return Some(answer);
         }
         if let Some(answer) = self.ledger.answer(session, key, &self.config, now) {
             return Some(answer);
@@ -232,11 +235,11 @@
         (session.serial() <= self.closed_through).then_some(ClaimAnswer::NotRun)
     }
 
-    /// Why nothing can be said under this session.
+    /// Returns the answer for every operation of a session that is not valid here.
     ///
-    /// A session of another incarnation is may-have-run: a restarted issuer has lost what it
-    /// granted. So is an expired one, whose records are gone.
-    fn refusal(&self, session: &Session, now: Mono) -> Option<ClaimAnswer> {
+    /// Operations of another incarnation are may-have-run, because a restarted issuer has lost its
+    /// grants. So are those of an expired session, because its records have been removed.
+    fn invalid_session_answer(&self, session: &Session, now: Mono) -> Option<ClaimAnswer> {
         if session.issuer() != &self.vm || session.incarnation() != self.incarnation {
             return Some(ClaimAnswer::MayHaveRun);
         }
@@ -246,8 +249,8 @@
         (now >= session.ends_at()).then_some(ClaimAnswer::MayHaveRun)
     }
 
-    /// Whether `claim` held the grant and has now given it up for good.
-    fn give_up(&mut self, operation: &OperationId, claim: &ClaimId, now: Mono) -> bool {
+    /// Permanently releases the grant if `claim` holds it, and returns whether it did.
+    fn release_grant(&mut self, operation: &OperationId, claim: &ClaimId, now: Mono) -> bool {
         let answer = self.complete(operation, claim, Completion::NotRun, now);
         answer == CompletionAnswer::Recorded
     }
--- a/crates/once/src/ledger.rs
+++ b/crates/once/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The table of operations of one issuer.
+//! Ledger of the operations of one issuer.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,17 +10,17 @@
     SealedOutcome, SealedSession, Session,
 };
 
-/// What is known of one operation. Nothing ever goes back to "unknown" before the session ends.
+/// State of one operation. A known operation never becomes unknown again before its session ends.
 #[derive(Debug, Clone)]
-enum Progress {
-    Running { claim: ClaimId, since: Mono },
+enum OperationState {
+    Running { claim: ClaimId, started_at: Mono },
     Lost { claim: ClaimId },
     Kept(Arc<KeptAnswer>),
     Ran,
     Closed,
 }
 
-impl Progress {
+impl OperationState {
     fn is_held_by(&self, candidate: &ClaimId) -> bool {
         match self {
             Self::Running { claim, .. } | Self::Lost { claim } => claim == candidate,
@@ -32,13 +32,13 @@
 #[derive(Debug)]
 struct SessionRecord {
     ends_at: Mono,
-    operations: BTreeMap<IdempotencyKey, Progress>,
+    operations: BTreeMap<IdempotencyKey, OperationState>,
 }
 
 /// All operations of sessions that have not expired.
 ///
-/// Sessions are kept by serial. An issuer's sessions share one lifetime, so the order of serials
-/// is the order in which they end.
+/// Sessions are ordered by serial. All sessions of an issuer have the same lifetime, so they also end
+/// in that order.
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
     sessions: BTreeMap<u64, SessionRecord>,
@@ -47,33 +47,33 @@
 }
 
 impl Ledger {
-    /// Number of operations remembered.
+    /// Returns the number of operations in the ledger.
     pub(crate) fn operations(&self) -> usize {
         self.operations
     }
 
-    /// Bytes of kept answers.
+    /// Returns the size of the kept answers in bytes.
     pub(crate) fn kept_bytes(&self) -> u64 {
         self.kept_bytes
     }
 
-    /// Number of operations whose grant is held by a live executor.
+    /// Returns the number of operations whose grant is held by a live executor.
     pub(crate) fn running(&self) -> usize {
-        let all = self.sessions.values().flat_map(|session| session.operations.values());
-        all.filter(|progress| matches!(progress, Progress::Running { .. })).count()
+        let states = self.sessions.values().flat_map(|session| session.operations.values());
+        states.filter(|state| matches!(state, OperationState::Running { .. })).count()
     }
 
-    /// End of the session that is dropped next.
-    pub(crate) fn next_end(&self) -> Option<Mono> {
+    /// Returns the end of the session that expires next.
+    pub(crate) fn next_session_end(&self) -> Option<Mono> {
         self.sessions.values().next().map(|session| session.ends_at)
     }
 
-    /// Operations remembered for one session.
+    /// Returns the number of operations of one session.
     pub(crate) fn operations_of(&self, session: &Session) -> usize {
         self.sessions.get(&session.serial()).map_or(0, |record| record.operations.len())
     }
 
-    /// What a repeat of a known operation is told.
+    /// Returns the answer to a repeat of a known operation; `None` if the operation is unknown.
     pub(crate) fn answer(
         &self,
         session: &Session,
@@ -81,15 +81,17 @@
         config: &OnceConfig,
         now: Mono,
     ) -> Option<ClaimAnswer> {
-        let progress = self.sessions.get(&session.serial())?.operations.get(key)?;
-        let answer = match progress {
-            Progress::Running { since, .. } if now.since(*since) < config.run_timeout => {
+        let state = self.sessions.get(&session.serial())?.operations.get(key)?;
+        let answer = match state {
+            OperationState::Running { started_at, .. }
+                if now.since(*started_at) < config.run_timeout =>
+            {
                 ClaimAnswer::InProgress
             }
-            Progress::Running { .. } | Progress::Lost { .. } => ClaimAnswer::MayHaveRun,
-            Progress::Kept(kept) => ClaimAnswer::Kept(Arc::clone(kept)),
-            Progress::Ran => ClaimAnswer::Ran,
-            Progress::Closed => ClaimAnswer::NotRun,
+            OperationState::Running { .. } | OperationState::Lost { .. } => ClaimAnswer::MayHaveRun,
+            OperationState::Kept(kept) => ClaimAnswer::Kept(Arc::clone(kept)),
+            OperationState::Ran => ClaimAnswer::Ran,
+            OperationState::Closed => ClaimAnswer::NotRun,
         };
         Some(answer)
     }
@@ -101,23 +103,28 @@
         claim: &ClaimId,
         now: Mono,
     ) {
-        self.insert(session, key, Progress::Running { claim: claim.clone(), since: now });
+        self.insert(
+            session,
+            key,
+            OperationState::Running { claim: claim.clone(), started_at: now },
+        );
     }
 
-    /// Leaves a tombstone: the key is never granted.
+    /// Adds a tombstone, so that the key is never granted.
     pub(crate) fn close(&mut self, session: &Session, key: &IdempotencyKey) {
-        self.insert(session, key, Progress::Closed);
+        self.insert(session, key, OperationState::Closed);
     }
 
-    fn insert(&mut self, session: &Session, key: &IdempotencyKey, progress: Progress) {
-        let fresh = || SessionRecord { ends_at: session.ends_at(), operations: BTreeMap::new() };
-        let record = self.sessions.entry(session.serial()).or_insert_with(fresh);
-        if record.operations.insert(key.clone(), progress).is_none() {
+    fn insert(&mut self, session: &Session, key: &IdempotencyKey, state: OperationState) {
+        let new_record =
+            || SessionRecord { ends_at: session.ends_at(), operations: BTreeMap::new() };
+        let record = self.sessions.entry(session.serial()).or_insert_with(new_record);
+        if record.operations.insert(key.clone(), state).is_none() {
             self.operations += 1;
         }
     }
 
-    /// Records the end that the holder of the grant reports.
+    /// Records the completion reported by the holder of the grant.
     pub(crate) fn complete(
         &mut self,
         session: &Session,
@@ -127,48 +134,48 @@
         config: &OnceConfig,
     ) -> CompletionAnswer {
         let kept_bytes = self.kept_bytes;
-        let Some(progress) = self.held(session, key, claim) else {
+        let Some(state) = self.held_state(session, key, claim) else {
             return CompletionAnswer::Ignored;
         };
         let mut added_bytes = 0;
-        *progress = match completion {
-            Completion::Ran(answer) if fits(&answer, kept_bytes, config) => {
+        *state = match completion {
+            Completion::Ran(answer) if is_within_limits(&answer, kept_bytes, config) => {
                 added_bytes = answer.size_bytes();
-                Progress::Kept(answer)
+                OperationState::Kept(answer)
             }
-            Completion::Ran(_) | Completion::RanUnkept => Progress::Ran,
-            Completion::NotRun => Progress::Closed,
-            Completion::MayHaveRun => Progress::Lost { claim: claim.clone() },
+            Completion::Ran(_) | Completion::RanUnkept => OperationState::Ran,
+            Completion::NotRun => OperationState::Closed,
+            Completion::MayHaveRun => OperationState::Lost { claim: claim.clone() },
         };
         self.kept_bytes += added_bytes;
         CompletionAnswer::Recorded
     }
 
-    fn held(
+    fn held_state(
         &mut self,
         session: &Session,
         key: &IdempotencyKey,
         claim: &ClaimId,
-    ) -> Option<&mut Progress> {
+    ) -> Option<&mut OperationState> {
         let record = self.sessions.get_mut(&session.serial())?;
-        let progress = record.operations.get_mut(key)?;
-        progress.is_held_by(claim).then_some(progress)
+        let state = record.operations.get_mut(key)?;
+        state.is_held_by(claim).then_some(state)
     }
 
-    /// Marks everything that a dead process was running.
+    /// Marks the operations that a dead process was running as lost.
     pub(crate) fn executor_lost(&mut self, executor: &VmId, incarnation: Incarnation) {
         let sessions = self.sessions.values_mut();
-        for progress in sessions.flat_map(|session| session.operations.values_mut()) {
-            let Progress::Running { claim, .. } = progress else {
+        for state in sessions.flat_map(|session| session.operations.values_mut()) {
+            let OperationState::Running { claim, .. } = state else {
                 continue;
             };
             if claim.executor() == executor && claim.incarnation() == incarnation {
-                *progress = Progress::Lost { claim: claim.clone() };
+                *state = OperationState::Lost { claim: claim.clone() };
             }
         }
     }
 
-    /// Forgets sessions that have ended.
+    /// Removes sessions that have ended.
     pub(crate) fn expire(&mut self, now: Mono) {
         while let Some(oldest) = self.sessions.first_entry() {
             if now < oldest.get().ends_at {
@@ -176,25 +183,25 @@
             }
             let record = oldest.remove();
             self.operations -= record.operations.len();
-            self.kept_bytes -= record.operations.values().map(kept_bytes_of).sum::<u64>();
+            self.kept_bytes -= record.operations.values().map(kept_answer_bytes).sum::<u64>();
         }
     }
 
-    /// Everything known, in its final form.
+    /// Converts the ledger to its sealed form.
     pub(crate) fn into_sealed(self) -> Vec<SealedSession> {
         self.sessions.into_iter().map(sealed_session).collect()
     }
 }
 
-fn fits(answer: &KeptAnswer, kept_bytes: u64, config: &OnceConfig) -> bool {
+fn is_within_limits(answer: &KeptAnswer, kept_bytes: u64, config: &OnceConfig) -> bool {
     let size_bytes = answer.size_bytes();
     let total_bytes = kept_bytes.saturating_add(size_bytes);
     size_bytes <= config.kept_answer_max.value() && total_bytes <= config.kept_total_max.value()
 }
 
-fn kept_bytes_of(progress: &Progress) -> u64 {
-    match progress {
-        Progress::Kept(answer) => answer.size_bytes(),
+fn kept_answer_bytes(state: &OperationState) -> u64 {
+    match state {
+        OperationState::Kept(answer) => answer.size_bytes(),
         _ => 0,
     }
 }
@@ -204,12 +211,12 @@
     SealedSession { serial, operations }
 }
 
-fn sealed_operation((key, progress): (IdempotencyKey, Progress)) -> SealedOperation {
-    let outcome = match progress {
-        Progress::Running { .. } | Progress::Lost { .. } => SealedOutcome::MayHaveRun,
-        Progress::Kept(answer) => SealedOutcome::Kept(answer),
-        Progress::Ran => SealedOutcome::Ran,
-        Progress::Closed => SealedOutcome::NotRun,
+fn sealed_operation((key, state): (IdempotencyKey, OperationState)) -> SealedOperation {
+    let outcome = match state {
+        OperationState::Running { .. } | OperationState::Lost { .. } => SealedOutcome::MayHaveRun,
+        OperationState::Kept(answer) => SealedOutcome::Kept(answer),
+        OperationState::Ran => SealedOutcome::Ran,
+        OperationState::Closed => SealedOutcome::NotRun,
     };
     SealedOperation { key, outcome }
 }
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -1,9 +1,10 @@
 //! At-most-once execution: sessions, idempotency ledgers and the archive of sealed ledgers.
 //!
-//! Each operation is named by a [`Session`] and an idempotency key. Only the process that issued
-//! the session, in the same incarnation, may grant the operation, and it does so once. Everything
-//! here is state, event and `now` in, new state and answer out: no I/O, clock or thread.
-//! `docs/design/once.md` gives the ways weighed and why this one holds.
+//! Each operation is identified by a [`Session`] and an idempotency key. Only the process that issued
+//! the session, in the same incarnation, may grant the operation, and it does so once. The crate does
+//! no I/O and has no clock or threads: functions change the state they are called on and take the
+//! current time as `now`. `docs/design/once.md` compares the alternatives and explains why this design
+//! is correct.
 
 mod answer;
 mod archive;
--- a/crates/once/src/once_config.rs
+++ b/crates/once/src/once_config.rs
@@ -4,30 +4,30 @@
 
 use shallotfork_types::Bytes;
 
-/// Limits of one issuer and of the archive beside it.
+/// Limits of an issuer and of the archive in the same process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OnceConfig {
-    /// Time for which a session may name operations; default 10 minutes.
+    /// Lifetime of a session; default 10 minutes.
     pub session_lifetime: Duration,
-    /// Operations remembered at once over all sessions; default 20,000.
+    /// Maximum number of operations in the ledger, over all sessions; default 20,000.
     pub operations_max: usize,
-    /// Operations of one session; default 1,000.
+    /// Maximum number of operations of one session; default 1,000.
     pub operations_per_session_max: usize,
-    /// Size of all kept answers together; default 8 MiB.
+    /// Maximum total size of kept answers; default 8 MiB.
     pub kept_total_max: Bytes,
-    /// Size of one kept answer; default 64 KiB.
+    /// Maximum size of one kept answer; default 64 KiB.
     pub kept_answer_max: Bytes,
-    /// Time after which a granted operation without completion counts as may-have-run; default
-    /// 2 minutes. It is never granted again.
+    /// Time after which a granted operation without a completion counts as may-have-run; default
+    /// 2 minutes. The operation is never granted again.
     pub run_timeout: Duration,
-    /// Sealed ledgers of other issuers held at once; default 16.
+    /// Maximum number of sealed ledgers of other issuers; default 16.
     pub archived_ledgers_max: usize,
-    /// Size of all archived ledgers together; default 16 MiB.
+    /// Maximum total size of archived ledgers; default 16 MiB.
     pub archived_total_max: Bytes,
 }
 
 impl OnceConfig {
-    /// The defaults named on each field.
+    /// Creates a configuration with the default of each field.
     pub fn new() -> Self {
         Self {
             session_lifetime: Duration::from_secs(600),
--- a/crates/once/src/operation.rs
+++ b/crates/once/src/operation.rs
@@ -1,10 +1,10 @@
-//! Names of operations and of the claims on them.
+//! Identifiers of operations and of claims on them.
 
 use shallotfork_types::{IdempotencyKey, Incarnation, VmId};
 
 use crate::Session;
 
-/// One non-idempotent operation: a key within a session.
+/// Identifier of one non-idempotent operation: a key within a session.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OperationId {
     session: Session,
@@ -12,26 +12,27 @@
 }
 
 impl OperationId {
-    /// Names an operation.
+    /// Creates the identifier of an operation.
     pub fn new(session: Session, key: IdempotencyKey) -> Self {
         Self { session, key }
     }
 
-    /// The session in which the key is unique.
+    /// Returns the session in which the key is unique.
     pub fn session(&self) -> &Session {
         &self.session
     }
 
-    /// The caller's name for the operation.
+    /// Returns the key that the caller chose for the operation.
     pub fn key(&self) -> &IdempotencyKey {
         &self.key
     }
 }
 
-/// One try of one process to get leave to run an operation; also the name of the grant.
+/// Identifier of one claim, the request of a process for permission to run an operation, and of the
+/// grant that results from it.
 ///
-/// Each claim has a number of its own, so that a process that gave up waiting for an answer can
-/// later say of that claim alone that it never led to a run.
+/// Each claim has a separate number, so that a process that stopped waiting for the answer can later
+/// report for exactly that claim that it never led to a run.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ClaimId {
     executor: VmId,
@@ -40,22 +41,22 @@
 }
 
 impl ClaimId {
-    /// Names a claim; `number` is unique within the executor's incarnation.
+    /// Creates the identifier of a claim; `number` is unique within the executor's incarnation.
     pub fn new(executor: VmId, incarnation: Incarnation, number: u64) -> Self {
         Self { executor, incarnation, number }
     }
 
-    /// The VM that would run the operation.
+    /// Returns the VM whose process would run the operation.
     pub fn executor(&self) -> &VmId {
         &self.executor
     }
 
-    /// The run of the process on that VM.
+    /// Returns the incarnation of the process on that VM.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Number of the claim within the executor's incarnation.
+    /// Returns the number of the claim within the executor's incarnation.
     pub fn number(&self) -> u64 {
         self.number
     }
--- a/crates/once/src/sealed.rs
+++ b/crates/once/src/sealed.rs
@@ -1,4 +1,4 @@
-//! Sealed ledgers: all that an issuer which left can ever say.
+//! Sealed ledgers: the final state of all operations of an issuer that has left.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,28 +7,28 @@
 
 use crate::{ClaimAnswer, KeptAnswer, OperationId, Secret};
 
-/// Rough memory of one operation besides its key and answer.
+/// Approximate memory use of one operation in bytes, without its key and answer.
 const OPERATION_OVERHEAD_BYTES: u64 = 64;
 
 /// The final state of one operation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SealedOutcome {
-    /// It ran; this is its answer.
+    /// The operation ran; its answer was kept.
     Kept(Arc<KeptAnswer>),
-    /// It ran; its answer was not kept.
+    /// The operation ran; its answer was not kept.
     Ran,
-    /// It was closed and never ran.
+    /// The operation was closed and never ran.
     NotRun,
-    /// It was granted and no end was reported.
+    /// The operation was granted and no outcome was reported.
     MayHaveRun,
 }
 
 /// One operation of a sealed ledger.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SealedOperation {
-    /// The caller's name for the operation.
+    /// Key that the caller chose for the operation.
     pub key: IdempotencyKey,
-    /// Its final state.
+    /// Final state of the operation.
     pub outcome: SealedOutcome,
 }
 
@@ -37,7 +37,7 @@
 pub struct SealedSession {
     /// Number of the session within its incarnation.
     pub serial: u64,
-    /// Its operations in order of their keys.
+    /// Operations of the session, ordered by key.
     pub operations: Vec<SealedOperation>,
 }
 
@@ -48,39 +48,39 @@
     }
 }
 
-/// The whole ledger of an issuer that grants nothing any more.
+/// The complete ledger of an issuer that no longer grants operations.
 ///
-/// It never changes, so copies held by several peers cannot disagree. What it does not list was
-/// never granted, and never will be, for sessions that had not expired at `sealed_at`.
+/// It never changes, so copies held by several peers cannot disagree. For sessions that had not expired
+/// at `sealed_at`, an operation that it does not list was never granted and never will be.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SealedLedger {
     /// The VM that issued the sessions.
     pub vm: VmId,
-    /// The run of its process.
+    /// Incarnation of the issuing process.
     pub incarnation: Incarnation,
-    /// The secret that proves a session.
+    /// Secret that verifies the signatures of the sessions.
     pub secret: Secret,
-    /// When it was sealed, on the issuer's own clock.
+    /// Time of sealing on the issuer's own clock.
     pub sealed_at: Mono,
-    /// Longest time for which any of its sessions can still be in use; counted from the handoff.
+    /// Maximum time for which any of the sessions can still be in use, counted from the handoff.
     pub session_lifetime: Duration,
-    /// Sessions with operations, in order of their serial.
+    /// Sessions that have operations, ordered by serial.
     pub sessions: Vec<SealedSession>,
 }
 
-/// One message's worth of a sealed ledger.
+/// Part of a sealed ledger that fits into one message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LedgerPart {
-    /// Number of this part, counted from 0.
+    /// Index of this part, counted from 0.
     pub index: u32,
-    /// Number of parts that make the whole ledger.
+    /// Number of parts that make up the complete ledger.
     pub count: u32,
-    /// The ledger with the operations of this part only.
+    /// Ledger with only the operations of this part.
     pub ledger: SealedLedger,
 }
 
 impl SealedLedger {
-    /// What the departed issuer would answer.
+    /// Returns the answer that the departed issuer would give.
     pub fn lookup(&self, operation: &OperationId) -> ClaimAnswer {
         let session = operation.session();
         if session.issuer() != &self.vm || session.incarnation() != self.incarnation {
@@ -89,7 +89,7 @@
         if !session.is_signed_by(&self.secret) {
             return ClaimAnswer::BadSession;
         }
-        // Sessions that ended before the seal had been forgotten by then: absence proves nothing.
+        // Sessions that ended before the seal were already removed, so absence proves nothing.
         if self.sealed_at >= session.ends_at() {
             return ClaimAnswer::MayHaveRun;
         }
@@ -101,31 +101,31 @@
         }
     }
 
-    /// Whether the ledger lists the operation itself.
-    pub(crate) fn lists(&self, operation: &OperationId) -> bool {
+    /// Returns whether the ledger lists the operation.
+    pub(crate) fn contains(&self, operation: &OperationId) -> bool {
         self.outcome(operation.session().serial(), operation.key()).is_some()
     }
 
-    /// Drops kept answers until those left fit; their operations stay known as run.
+    /// Drops kept answers that do not fit into `limit`; their operations stay recorded as run.
     #[must_use]
     pub fn with_answers_within(mut self, limit: Bytes) -> Self {
-        let mut left_bytes = limit.value();
+        let mut remaining_bytes = limit.value();
         let operations = self.sessions.iter_mut().flat_map(|session| &mut session.operations);
         for operation in operations {
             let SealedOutcome::Kept(answer) = &operation.outcome else {
                 continue;
             };
-            match left_bytes.checked_sub(answer.size_bytes()) {
-                Some(rest) => left_bytes = rest,
+            match remaining_bytes.checked_sub(answer.size_bytes()) {
+                Some(rest) => remaining_bytes = rest,
                 None => operation.outcome = SealedOutcome::Ran,
             }
         }
         self
     }
 
-    /// Cuts the ledger into parts of at most about `limit`, for messages of bounded size.
+    /// Splits the ledger into parts of approximately `limit` at most, for messages of limited size.
     pub fn into_parts(self, limit: Bytes) -> Vec<LedgerPart> {
-        let empty = self.clone_head();
+        let empty = self.clone_without_sessions();
         let mut parts = vec![empty.clone()];
         let mut part_bytes = 0;
         for session in self.sessions {
@@ -146,7 +146,7 @@
         (0..).zip(parts).map(part).collect()
     }
 
-    fn clone_head(&self) -> Self {
+    fn clone_without_sessions(&self) -> Self {
         Self {
             vm: self.vm.clone(),
             incarnation: self.incarnation,
@@ -166,13 +166,14 @@
 
     /// Adds the operations of another part and restores the order that lookups rely on.
     ///
-    /// Only sessions of the part are sorted: sorting all of them with each part would hold the
-    /// control thread for a time that grows with the square of the ledger.
+    /// Only the sessions of the part are sorted: sorting the operations of all sessions for each part
+    /// would block the control thread for a time quadratic in the size of the ledger.
     pub(crate) fn merge(&mut self, sessions: Vec<SealedSession>) {
-        let known = self.sessions.len();
+        let old_count = self.sessions.len();
         for mut session in sessions {
-            let place = self.sessions[..known].binary_search_by_key(&session.serial, |s| s.serial);
-            match place {
+            let position =
+                self.sessions[..old_count].binary_search_by_key(&session.serial, |s| s.serial);
+            match position {
                 Ok(index) => self.sessions[index].add(session.operations),
                 Err(_) => {
                     session.add(Vec::new());
@@ -181,26 +182,26 @@
             }
         }
         self.sessions.sort_by_key(|session| session.serial);
-        // A part that lists a session twice must not hide one half of it: an operation that is
-        // not found counts as not run.
+        // If a part lists a session twice, both lists are merged: a lookup would find only one of them,
+        // and an operation that is not found counts as not run.
         self.sessions.dedup_by(|next, kept| {
-            let same = next.serial == kept.serial;
-            if same {
+            let is_same = next.serial == kept.serial;
+            if is_same {
                 kept.add(std::mem::take(&mut next.operations));
             }
-            same
+            is_same
         });
     }
 
-    /// Rough memory that the ledger takes.
+    /// Returns the approximate memory use of the ledger in bytes.
     pub fn size_bytes(&self) -> u64 {
         let operations = self.sessions.iter().flat_map(|session| &session.operations);
         operations.map(operation_bytes).sum()
     }
 
     fn outcome(&self, serial: u64, key: &IdempotencyKey) -> Option<&SealedOutcome> {
-        let session = find(&self.sessions, &serial, |session| &session.serial)?;
-        let operation = find(&session.operations, key, |operation| &operation.key)?;
+        let session = find_sorted(&self.sessions, &serial, |session| &session.serial)?;
+        let operation = find_sorted(&session.operations, key, |operation| &operation.key)?;
         Some(&operation.outcome)
     }
 }
@@ -213,7 +214,11 @@
     OPERATION_OVERHEAD_BYTES + operation.key.as_str().len() as u64 + answer_bytes
 }
 
-fn find<'a, T, K: Ord>(sorted: &'a [T], wanted: &K, key: impl Fn(&T) -> &K) -> Option<&'a T> {
+fn find_sorted<'a, T, K: Ord>(
+    sorted: &'a [T],
+    wanted: &K,
+    key: impl Fn(&T) -> &K,
+) -> Option<&'a T> {
     let index = sorted.binary_search_by(|item| key(item).cmp(wanted)).ok()?;
     sorted.get(index)
 }
--- a/crates/once/src/secret.rs
+++ b/crates/once/src/secret.rs
@@ -1,4 +1,4 @@
-//! The secret under which an issuer signs its sessions.
+//! Secret with which an issuer signs its sessions.
 
 use std::fmt;
 
@@ -6,29 +6,30 @@
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
-/// Length of a secret.
+/// Length of a secret in bytes.
 pub const SECRET_BYTES: usize = 32;
 
-/// Bytes of a session's tag: HMAC-SHA256 cut to 128 bits, as RFC 2104 section 5 allows.
+/// Length of a session's tag in bytes: HMAC-SHA256 truncated to 128 bits, as RFC 2104 section 5 allows.
 pub(crate) const TAG_BYTES: usize = 16;
 
-/// A random key that an issuer draws at start and that leaves it only in its sealed ledger.
+/// Random key generated when an issuer starts; it leaves the issuer only as part of the sealed ledger.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret([u8; SECRET_BYTES]);
 
 impl Secret {
-    /// Wraps random bytes drawn by the caller.
+    /// Creates a secret from random bytes.
     pub fn new(bytes: [u8; SECRET_BYTES]) -> Self {
         Self(bytes)
     }
 
-    /// The bytes, for handing a sealed ledger to a peer.
+    /// Returns the bytes, for transferring a sealed ledger to a peer.
     pub fn bytes(&self) -> &[u8; SECRET_BYTES] {
         &self.0
     }
 
     fn mac(&self, text: &str) -> Hmac<Sha256> {
-        // HMAC pads shorter keys with zeros, so this is the key itself and cannot fail.
+        // HMAC pads keys shorter than the block with zeros, so this block is equivalent to the key.
+        // A key of exactly the block size cannot be rejected.
         let mut block = Key::<Hmac<Sha256>>::default();
         block[..SECRET_BYTES].copy_from_slice(&self.0);
         let mut mac = <Hmac<Sha256> as Mac>::new(&block);
@@ -43,7 +44,7 @@
         tag
     }
 
-    /// Whether `tag` belongs to `text`, compared in constant time.
+    /// Returns whether `tag` is the tag of `text`, comparing in constant time.
     pub(crate) fn verifies(&self, text: &str, tag: &[u8; TAG_BYTES]) -> bool {
         self.mac(text).verify_truncated_left(tag).is_ok()
     }
--- a/crates/once/src/session.rs
+++ b/crates/once/src/session.rs
@@ -1,4 +1,4 @@
-//! Sessions: the namespace in which a caller names its operations.
+//! Sessions: namespaces for the idempotency keys of a caller.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,18 +11,18 @@
 use crate::Secret;
 use crate::secret::TAG_BYTES;
 
-/// Longer texts are refused before they are looked at.
+/// Longer texts are rejected before they are parsed.
 const MAX_TEXT_BYTES: usize = 256;
 
-/// No field of a session can hold this character.
+/// Separates the fields of a session; no field can contain this character.
 const SEPARATOR: char = '~';
 
 const EXPECTED: &str = "a session as given by /v1/entries";
 
-/// A permission, signed by its issuer, to name operations until it expires.
+/// Namespace for the operations of a caller, signed by its issuer and valid until it expires.
 ///
-/// Its text form is the value of the header `Shallotfork-Session`. Parsing checks only the form;
-/// whether the issuer really signed it is known to the issuer and to holders of its sealed ledger.
+/// Its text form is the value of the header `Shallotfork-Session`. Parsing checks only the format; the
+/// signature can be verified by the issuer and by holders of its sealed ledger.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Session {
     issuer: VmId,
@@ -34,7 +34,7 @@
 }
 
 impl Session {
-    /// Signs a new session. `issued_at` is on the issuer's own clock.
+    /// Creates and signs a session. `issued_at` is on the issuer's own clock.
     pub(crate) fn new(
         issuer: &VmId,
         incarnation: Incarnation,
@@ -55,27 +55,27 @@
         session
     }
 
-    /// The VM that issued the session.
+    /// Returns the VM that issued the session.
     pub fn issuer(&self) -> &VmId {
         &self.issuer
     }
 
-    /// The run of the issuing process.
+    /// Returns the incarnation of the issuing process.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Number of the session within its incarnation, counted from 1.
+    /// Returns the number of the session within its incarnation, counted from 1.
     pub fn serial(&self) -> u64 {
         self.serial
     }
 
-    /// Time from issue to expiry.
+    /// Returns the time from issue to expiry.
     pub fn lifetime(&self) -> Duration {
         self.lifetime
     }
 
-    /// The end of the session on the issuer's clock; not comparable with any other clock.
+    /// Returns the end of the session on the issuer's clock; not comparable with any other clock.
     pub(crate) fn ends_at(&self) -> Mono {
         self.issued_at.plus(self.lifetime)
     }
@@ -134,7 +134,7 @@
     bytes.try_into().ok()
 }
 
-/// Cuts a lifetime to what the text form can carry.
+/// Truncates a lifetime to whole milliseconds, the resolution of the text form.
 fn whole_millis(lifetime: Duration) -> Duration {
     Duration::from_millis(u64::try_from(lifetime.as_millis()).unwrap_or(u64::MAX))
 }
--- a/crates/once/tests/interleavings.rs
+++ b/crates/once/tests/interleavings.rs
@@ -1,5 +1,5 @@
-//! Any order of messages, losses, pauses, restarts and leaving: no operation is granted twice, and
-//! "not run" is never said of one that ran or will run.
+//! For any interleaving of messages, losses, pauses, restarts and planned stops, no operation is granted
+//! twice, and "not run" is never reported for one that ran or will run.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,37 +18,37 @@
 const ENTRIES: u8 = 3;
 const KEYS: u8 = 4;
 
-/// One thing that happens. Numbers pick among what exists at that moment.
+/// One simulated event. Numbers select one of the items that exist at that moment.
 #[derive(Debug, Clone)]
 enum Event {
-    /// A caller takes a session.
+    /// A caller gets a session.
     Issue,
-    /// A caller sends a request, or a copy of it, to an entry, which claims it.
+    /// A caller sends a request, or a copy of it, to an entry, which claims the operation.
     Send { entry: u8, session: u8, key: u8 },
-    /// An entry refuses a request before it claims, so it closes the operation.
+    /// An entry rejects a request before claiming the operation, and therefore closes it.
     Refuse { entry: u8, session: u8, key: u8 },
-    /// A message between an entry and the issuer arrives, in any order.
+    /// A message between an entry and the issuer arrives; messages may be reordered.
     Deliver { message: u8 },
     /// A message is lost.
-    Lose { message: u8 },
-    /// An entry stops waiting for a claim: it closes the operation under the same claim.
-    GiveUp { waiting: u8 },
-    /// An entry holding a grant sends the request to a target and learns the end.
-    Run { granted: u8, end: End },
-    /// An entry dies; the issuer may hear of it, rightly or wrongly.
+    Drop { message: u8 },
+    /// An entry stops waiting for the answer to a claim and closes the operation under the same claim.
+    AbandonClaim { waiting: u8 },
+    /// An entry that holds a grant sends the request to a target and learns the outcome.
+    Run { granted: u8, outcome: RunOutcome },
+    /// The issuer is notified that an entry died, which need not be true.
     Suspect { entry: u8 },
-    /// Time goes on for everybody.
-    Pass { seconds: u8 },
-    /// The issuer is killed and comes back with another incarnation.
+    /// The clock advances for all processes.
+    AdvanceClock { seconds: u8 },
+    /// The issuer is killed and restarts with another incarnation.
     Restart,
     /// The issuer begins a planned stop.
     Drain,
-    /// The issuer seals and two peers hold its ledger.
+    /// The issuer seals its ledger, and two peers receive it.
     Seal,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum End {
+enum RunOutcome {
     Ran,
     NotRun,
     MayHaveRun,
@@ -62,14 +62,16 @@
             2..8 => Self::Send { entry: any(g) % ENTRIES, session: any(g), key: any(g) % KEYS },
             8..11 => Self::Refuse { entry: any(g) % ENTRIES, session: any(g), key: any(g) % KEYS },
             11..20 => Self::Deliver { message: any(g) },
-            20..22 => Self::Lose { message: any(g) },
-            22..24 => Self::GiveUp { waiting: any(g) },
+            20..22 => Self::Drop { message: any(g) },
+            22..24 => Self::AbandonClaim { waiting: any(g) },
             24..27 => {
-                let end = *g.choose(&[End::Ran, End::NotRun, End::MayHaveRun]).unwrap();
-                Self::Run { granted: any(g), end }
+                let outcome = *g
+                    .choose(&[RunOutcome::Ran, RunOutcome::NotRun, RunOutcome::MayHaveRun])
+                    .unwrap();
+                Self::Run { granted: any(g), outcome }
             }
             27 => Self::Suspect { entry: any(g) % ENTRIES },
-            28..30 => Self::Pass { seconds: any(g) % 8 },
+            28..30 => Self::AdvanceClock { seconds: any(g) % 8 },
             30 if any(g) % 2 == 0 => Self::Issue,
             30 => g.choose(&[Self::Restart, Self::Drain, Self::Drain]).unwrap().clone(),
             _ => Self::Seal,
@@ -77,7 +79,7 @@
     }
 }
 
-/// Small limits, so that short runs reach them.
+/// Limits small enough for short runs to reach them.
 #[derive(Debug, Clone)]
 struct Limits {
     session_lifetime_s: u8,
@@ -95,7 +97,7 @@
     }
 }
 
-/// A message on its way between an entry and the issuer.
+/// A message in transit between an entry and the issuer.
 #[derive(Debug, Clone)]
 enum Message {
     Claim { operation: usize, claim: ClaimId },
@@ -110,8 +112,8 @@
     Gone,
 }
 
-/// The world: one issuing VM, entries, messages on their way, and what callers were told.
-struct World {
+/// Simulation of one issuing VM, entries, messages in transit, and the verdicts reported to callers.
+struct Simulation {
     config: OnceConfig,
     now: Mono,
     incarnation: u64,
@@ -120,18 +122,18 @@
     sessions: Vec<Session>,
     operations: Vec<OperationId>,
     messages: Vec<Message>,
-    /// Claims whose entry waits for an answer.
+    /// Claims whose entry is waiting for an answer.
     waiting: Vec<(usize, ClaimId)>,
-    /// Grants that reached a waiting entry and have not been used.
+    /// Grants received by a waiting entry and not used yet.
     granted: Vec<(usize, ClaimId)>,
     claims: u64,
-    /// Grants given, by operation.
+    /// Number of grants by operation.
     grants: BTreeMap<usize, usize>,
     ran: BTreeSet<usize>,
-    told_not_run: BTreeSet<usize>,
+    reported_not_run: BTreeSet<usize>,
 }
 
-impl World {
+impl Simulation {
     fn new(limits: &Limits) -> Self {
         let config = OnceConfig {
             session_lifetime: Duration::from_secs(u64::from(limits.session_lifetime_s)),
@@ -155,7 +157,7 @@
             claims: 0,
             grants: BTreeMap::new(),
             ran: BTreeSet::new(),
-            told_not_run: BTreeSet::new(),
+            reported_not_run: BTreeSet::new(),
         }
     }
 
@@ -165,11 +167,11 @@
             Event::Send { entry, session, key } => self.send(entry, session, key),
             Event::Refuse { entry, session, key } => self.refuse(entry, session, key),
             Event::Deliver { message } => self.deliver(message),
-            Event::Lose { message } => drop(take(&mut self.messages, message)),
-            Event::GiveUp { waiting } => self.give_up(waiting),
-            Event::Run { granted, end } => self.run(granted, end),
+            Event::Drop { message } => drop(take(&mut self.messages, message)),
+            Event::AbandonClaim { waiting } => self.abandon_claim(waiting),
+            Event::Run { granted, outcome } => self.run(granted, outcome),
             Event::Suspect { entry } => self.suspect(entry),
-            Event::Pass { seconds } => {
+            Event::AdvanceClock { seconds } => {
                 self.now = self.now.plus(Duration::from_secs(u64::from(seconds)));
             }
             Event::Restart => self.restart(),
@@ -218,14 +220,14 @@
         let Some(message) = take(&mut self.messages, message) else { return };
         match message {
             Message::Claim { operation, claim } => {
-                let answer = self.ask(operation, &claim, false);
+                let answer = self.call_issuer(operation, &claim, false);
                 if answer == ClaimAnswer::Granted {
                     *self.grants.entry(operation).or_default() += 1;
                 }
                 self.messages.push(Message::Answer { operation, claim, answer });
             }
             Message::Close { operation, claim } => {
-                let answer = self.ask(operation, &claim, true);
+                let answer = self.call_issuer(operation, &claim, true);
                 self.messages.push(Message::Answer { operation, claim, answer });
             }
             Message::Complete { operation, claim, completion } => {
@@ -236,22 +238,24 @@
                     Phase::Gone => return,
                 };
             }
-            Message::Answer { operation, claim, answer } => self.hear(operation, &claim, &answer),
+            Message::Answer { operation, claim, answer } => {
+                self.on_answer(operation, &claim, &answer)
+            }
         }
     }
 
-    fn ask(&mut self, operation: usize, claim: &ClaimId, close: bool) -> ClaimAnswer {
+    fn call_issuer(&mut self, operation: usize, claim: &ClaimId, close: bool) -> ClaimAnswer {
         let id = &self.operations[operation];
         match &mut self.phase {
             Phase::Open(issuer) if close => issuer.close(id, claim, self.now),
             Phase::Open(issuer) => issuer.claim(id, claim, self.now),
             Phase::Draining(issuer) if close => issuer.close(id, claim, self.now),
             Phase::Draining(issuer) => issuer.claim(id, self.now),
-            Phase::Gone => self.ask_archives(operation),
+            Phase::Gone => self.look_up_in_archives(operation),
         }
     }
 
-    fn ask_archives(&mut self, operation: usize) -> ClaimAnswer {
+    fn look_up_in_archives(&mut self, operation: usize) -> ClaimAnswer {
         let id = &self.operations[operation];
         let [first, second] = &mut self.archives;
         first.expire(self.now);
@@ -262,33 +266,33 @@
         answers.0.or(answers.1).unwrap_or(ClaimAnswer::MayHaveRun)
     }
 
-    /// An entry hears an answer: a grant counts only while it still waits for it.
-    fn hear(&mut self, operation: usize, claim: &ClaimId, answer: &ClaimAnswer) {
-        let waits = self.waiting.iter().position(|(_, waiting)| waiting == claim);
-        match (answer.verdict(), waits) {
+    /// Processes an answer at an entry; a grant is used only if the entry is still waiting for it.
+    fn on_answer(&mut self, operation: usize, claim: &ClaimId, answer: &ClaimAnswer) {
+        let waiting_index = self.waiting.iter().position(|(_, waiting)| waiting == claim);
+        match (answer.verdict(), waiting_index) {
             (None, Some(index)) => self.granted.push(self.waiting.remove(index)),
             (Some(Verdict::NotRun), _) => {
-                self.told_not_run.insert(operation);
+                self.reported_not_run.insert(operation);
             }
             _ => {}
         }
     }
 
-    fn give_up(&mut self, waiting: u8) {
+    fn abandon_claim(&mut self, waiting: u8) {
         let Some((operation, claim)) = take(&mut self.waiting, waiting) else { return };
         self.messages.push(Message::Close { operation, claim });
     }
 
-    fn run(&mut self, granted: u8, end: End) {
+    fn run(&mut self, granted: u8, outcome: RunOutcome) {
         let Some((operation, claim)) = take(&mut self.granted, granted) else { return };
-        let completion = match end {
-            End::Ran => Completion::RanUnkept,
-            End::NotRun => Completion::NotRun,
-            End::MayHaveRun => Completion::MayHaveRun,
+        let completion = match outcome {
+            RunOutcome::Ran => Completion::RanUnkept,
+            RunOutcome::NotRun => Completion::NotRun,
+            RunOutcome::MayHaveRun => Completion::MayHaveRun,
         };
-        match end {
-            End::NotRun => self.told_not_run.insert(operation),
-            End::Ran | End::MayHaveRun => self.ran.insert(operation),
+        match outcome {
+            RunOutcome::NotRun => self.reported_not_run.insert(operation),
+            RunOutcome::Ran | RunOutcome::MayHaveRun => self.ran.insert(operation),
         };
         self.messages.push(Message::Complete { operation, claim, completion });
     }
@@ -327,9 +331,9 @@
         };
     }
 
-    fn holds(&self) -> bool {
-        let granted_once = self.grants.values().all(|grants| *grants == 1);
-        granted_once && self.ran.is_disjoint(&self.told_not_run)
+    fn invariants_hold(&self) -> bool {
+        let is_granted_once = self.grants.values().all(|grants| *grants == 1);
+        is_granted_once && self.ran.is_disjoint(&self.reported_not_run)
     }
 }
 
@@ -339,46 +343,46 @@
     Issuer::new(vm, Incarnation::new(incarnation), secret, config.clone())
 }
 
-fn pick<T>(items: &[T], choice: u8) -> Option<&T> {
-    items.get(usize::from(choice) % items.len().max(1))
+fn pick<T>(items: &[T], selector: u8) -> Option<&T> {
+    items.get(usize::from(selector) % items.len().max(1))
 }
 
-fn take<T>(items: &mut Vec<T>, choice: u8) -> Option<T> {
+fn take<T>(items: &mut Vec<T>, selector: u8) -> Option<T> {
     if items.is_empty() {
         return None;
     }
-    Some(items.swap_remove(usize::from(choice) % items.len()))
+    Some(items.swap_remove(usize::from(selector) % items.len()))
 }
 
-/// What came up in all runs, to prove that the property was put to the test.
+/// Number of cases covered in all runs, which shows that the property was exercised.
 #[derive(Debug, Default)]
-struct Seen {
+struct Coverage {
     granted: usize,
     ran: usize,
-    told_not_run: usize,
+    reported_not_run: usize,
 }
 
-/// A clerk's order goes through several entries, claims and answers are lost or late, and the
-/// issuer is paused, restarted or leaves. The mill must never run the order twice, and an order
-/// called "not run" must never run, as the clerk then lodges it again.
+/// Copies of an operation arrive at several entries, claims and answers are lost or delayed, and the
+/// issuer is paused, restarted or stopped. The operation must never run twice, and must never run after
+/// it was reported as "not run", because the caller then repeats it.
 #[test]
-fn no_operation_is_granted_twice_and_not_run_is_true() {
+fn operations_are_granted_once_and_not_run_is_final() {
     thread_local! {
-        static SEEN: std::cell::RefCell<Seen> = std::cell::RefCell::default();
+        static COVERAGE: std::cell::RefCell<Coverage> = std::cell::RefCell::default();
     }
     fn property(limits: Limits, events: Vec<Event>) -> TestResult {
-        let mut world = World::new(&limits);
-        world.issue();
+        let mut simulation = Simulation::new(&limits);
+        simulation.issue();
         for event in events {
-            world.step(event);
-            if !world.holds() {
+            simulation.step(event);
+            if !simulation.invariants_hold() {
                 return TestResult::failed();
             }
         }
-        SEEN.with_borrow_mut(|seen| {
-            seen.granted += world.grants.len();
-            seen.ran += world.ran.len();
-            seen.told_not_run += world.told_not_run.len();
+        COVERAGE.with_borrow_mut(|coverage| {
+            coverage.granted += simulation.grants.len();
+            coverage.ran += simulation.ran.len();
+            coverage.reported_not_run += simulation.reported_not_run.len();
         });
         TestResult::passed()
     }
@@ -387,8 +391,13 @@
         .tests(RUNS)
         .max_tests(RUNS)
         .quickcheck(property as fn(Limits, Vec<Event>) -> TestResult);
-    let seen = SEEN.take();
-    println!("{RUNS} runs: {seen:?}");
-    let enough = usize::try_from(RUNS / 4).unwrap();
-    assert!(seen.granted > enough && seen.ran > enough && seen.told_not_run > enough, "{seen:?}");
+    let coverage = COVERAGE.take();
+    println!("{RUNS} runs: {coverage:?}");
+    let min_count = usize::try_from(RUNS / 4).unwrap();
+    assert!(
+        coverage.granted > min_count
+            && coverage.ran > min_count
+            && coverage.reported_not_run > min_count,
+        "{coverage:?}"
+    );
 }
--- a/crates/once/tests/ledger.rs
+++ b/crates/once/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Answers of issuer, sealed ledger and archive, case by case.
+//! Answers of the issuer, the sealed ledger and the archive in single cases.
 #![allow(clippy::unwrap_used)]
 
 use std::sync::Arc;
@@ -55,12 +55,12 @@
     Arc::new(KeptAnswer { status: 201, headers: Vec::new(), body: body.to_vec() })
 }
 
-fn after(wait: Duration) -> Mono {
-    START.plus(wait)
+fn after(elapsed: Duration) -> Mono {
+    START.plus(elapsed)
 }
 
 #[test]
-fn a_repeat_gets_the_kept_answer() {
+fn repeat_returns_the_kept_answer() {
     let mut fixture = Fixture::new();
     assert_eq!(ClaimAnswer::Granted, fixture.claim("k", 1));
     assert_eq!(ClaimAnswer::InProgress, fixture.claim("k", 2));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn only_the_holder_of_the_grant_completes_it() {
+fn only_the_grant_holder_can_complete_an_operation() {
     let mut fixture = Fixture::new();
     fixture.claim("k", 1);
     assert_eq!(CompletionAnswer::Ignored, fixture.complete("k", 2, Completion::NotRun));
@@ -78,37 +78,37 @@
     assert_eq!(ClaimAnswer::NotRun, fixture.close("k", 1));
 }
 
-/// An entry's claim times out, it closes the operation and tells its caller "not run". The claim
-/// was only late and reaches the issuer now: a grant would run what was called not run.
+/// An entry's claim times out, so it closes the operation and reports "not run" to its caller. The claim
+/// was only delayed and arrives after the close: a grant would make the reported verdict false.
 #[test]
-fn a_claim_that_arrives_after_its_close_is_refused() {
+fn claim_after_close_is_rejected() {
     let mut fixture = Fixture::new();
     assert_eq!(ClaimAnswer::NotRun, fixture.close("k", 1));
     assert_eq!(ClaimAnswer::NotRun, fixture.claim("k", 1));
 }
 
-/// An order desk's entry refuses an order because the ledger is full and says "not run"; the
-/// clerk lodges it anew under another session. Later there is room, and a paused entry's copy of
-/// the first order claims its key: a grant would run the order twice.
+/// An operation is rejected as "not run" because the ledger is full, and the caller repeats it under
+/// another session. Once the ledger has capacity, a paused entry claims the first key for its copy of
+/// the request: a grant would run the operation twice.
 #[test]
-fn a_key_refused_by_a_full_ledger_stays_refused_when_there_is_room() {
+fn key_rejected_by_a_full_ledger_stays_rejected() {
     let config = OnceConfig { operations_max: 1, ..OnceConfig::new() };
     let mut fixture = Fixture::with_config(config);
     fixture.claim("first", 1);
     let later = after(Duration::from_secs(300));
     let second = fixture.issuer.issue(later);
-    let refused = OperationId::new(second, IdempotencyKey::new("second").unwrap());
+    let rejected = OperationId::new(second, IdempotencyKey::new("second").unwrap());
     let expected = ClaimAnswer::Full { retry_after: Duration::from_secs(300) };
-    assert_eq!(expected, fixture.issuer.claim(&refused, &claim_id(2), later));
-    let roomy = after(Duration::from_secs(601));
-    assert_eq!(ClaimAnswer::NotRun, fixture.issuer.claim(&refused, &claim_id(3), roomy));
-    let third = fixture.issuer.issue(roomy);
+    assert_eq!(expected, fixture.issuer.claim(&rejected, &claim_id(2), later));
+    let capacity_at = after(Duration::from_secs(601));
+    assert_eq!(ClaimAnswer::NotRun, fixture.issuer.claim(&rejected, &claim_id(3), capacity_at));
+    let third = fixture.issuer.issue(capacity_at);
     let fresh = OperationId::new(third, IdempotencyKey::new("third").unwrap());
-    assert_eq!(ClaimAnswer::Granted, fixture.issuer.claim(&fresh, &claim_id(4), roomy));
+    assert_eq!(ClaimAnswer::Granted, fixture.issuer.claim(&fresh, &claim_id(4), capacity_at));
 }
 
 #[test]
-fn a_session_over_its_own_limit_grants_nothing_more_and_others_do() {
+fn session_limit_does_not_affect_other_sessions() {
     let config = OnceConfig { operations_per_session_max: 1, ..OnceConfig::new() };
     let mut fixture = Fixture::with_config(config);
     fixture.claim("first", 1);
@@ -122,21 +122,21 @@
 }
 
 #[test]
-fn a_full_ledger_closes_without_a_tombstone() {
+fn full_ledger_closes_without_a_tombstone() {
     let config = OnceConfig { operations_max: 1, ..OnceConfig::new() };
     let mut fixture = Fixture::with_config(config);
     fixture.claim("first", 1);
     let second = fixture.issuer.issue(after(Duration::from_secs(300)));
     let closed = OperationId::new(second, IdempotencyKey::new("second").unwrap());
-    let roomy = after(Duration::from_secs(601));
+    let capacity_at = after(Duration::from_secs(601));
     assert_eq!(ClaimAnswer::NotRun, fixture.issuer.close(&closed, &claim_id(2), START));
     assert_eq!(1, fixture.issuer.operations());
     assert_eq!(ClaimAnswer::InProgress, fixture.claim("first", 3));
-    assert_eq!(ClaimAnswer::NotRun, fixture.issuer.claim(&closed, &claim_id(4), roomy));
+    assert_eq!(ClaimAnswer::NotRun, fixture.issuer.claim(&closed, &claim_id(4), capacity_at));
 }
 
 #[test]
-fn an_answer_over_the_limits_is_remembered_as_run() {
+fn answer_over_the_limits_is_recorded_as_ran() {
     let limits = OnceConfig {
         kept_answer_max: Bytes::new(4),
         kept_total_max: Bytes::new(6),
@@ -156,10 +156,10 @@
     assert_eq!((0, 0), (fixture.issuer.operations(), fixture.issuer.kept_bytes()));
 }
 
-/// An entry dies while an order runs at a target. The clerk's repeat must not run it again, and
-/// is told "may have run" as soon as the death is known or the run has taken too long.
+/// An entry dies while an operation runs at a target. A repeat must not run it again, and is answered
+/// "may have run" once the death is known or the run timeout has passed.
 #[test]
-fn what_a_dead_executor_held_is_never_granted_again() {
+fn operation_of_a_dead_executor_is_never_granted_again() {
     let mut fixture = Fixture::new();
     fixture.claim("k", 1);
     fixture.claim("slow", 2);
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn an_expired_session_is_may_have_run() {
+fn expired_session_is_may_have_run() {
     let mut fixture = Fixture::new();
     let operation = fixture.operation("k");
     let end = after(Duration::from_secs(600));
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn another_incarnation_is_may_have_run() {
+fn session_of_another_incarnation_is_may_have_run() {
     let fixture = Fixture::new();
     let vm = VmId::new("issuer").unwrap();
     let secret = Secret::new([2; 32]);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_sealed_ledger_answers_as_its_issuer_would() {
+fn sealed_ledger_answers_like_its_issuer() {
     let mut fixture = Fixture::new();
     for (number, key) in (1..).zip(["kept", "ran", "running"]) {
         fixture.claim(key, number);
@@ -222,10 +222,10 @@
     assert_eq!(None, archive.lookup(&operations[0]));
 }
 
-/// A session expired before its issuer was sealed, so its orders were forgotten. The archive
-/// must not take their absence for proof that they never ran.
+/// A session expired before its issuer was sealed, so its operations were already removed. Their absence
+/// from the sealed ledger does not prove that they never ran.
 #[test]
-fn a_session_that_ended_before_the_seal_is_may_have_run() {
+fn session_expired_before_the_seal_is_may_have_run() {
     let mut fixture = Fixture::new();
     fixture.claim("k", 1);
     fixture.complete("k", 1, Completion::RanUnkept);
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn a_sealed_ledger_cut_for_the_wire_keeps_what_ran() {
+fn dropped_answers_stay_recorded_as_ran() {
     let mut fixture = Fixture::new();
     for (number, key) in (1..).zip(["a", "b"]) {
         fixture.claim(key, number);
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn a_full_archive_refuses_and_keeps_what_it_has() {
+fn full_archive_rejects_further_ledgers() {
     let config = OnceConfig { archived_ledgers_max: 1, ..OnceConfig::new() };
     let mut archive = Archive::new(config);
     let first = Fixture::new().issuer.drain(START).seal(START);
@@ -261,10 +261,10 @@
     assert_eq!(1, archive.len());
 }
 
-/// A peer of another version lists a session twice in one part. The half that a search would miss
-/// must not be taken for orders that never ran.
+/// A peer of another version lists a session twice in one part. A lookup would find only one of the two
+/// lists and report operations of the other one as not run.
 #[test]
-fn a_session_listed_twice_is_found_whole() {
+fn session_listed_twice_is_merged() {
     let mut fixture = Fixture::new();
     for (number, key) in (1..).zip(["a", "b"]) {
         fixture.claim(key, number);
@@ -281,10 +281,10 @@
     assert_eq!(expected, operations.map(|operation| archive.lookup(&operation)));
 }
 
-/// A peer that holds a departed issuer's ledger leaves too, and passes it on. The ledger must not
-/// live longer by that than its sessions do.
+/// A peer that holds the ledger of a departed issuer leaves too and forwards it. This must not extend
+/// the lifetime of the ledger beyond that of its sessions.
 #[test]
-fn a_ledger_passed_on_keeps_its_end() {
+fn forwarded_ledger_keeps_its_expiry() {
     let mut fixture = Fixture::new();
     fixture.claim("k", 1);
     fixture.complete("k", 1, Completion::RanUnkept);
@@ -303,10 +303,10 @@
     assert!(second.is_empty());
 }
 
-/// A large ledger is handed over in parts, and an entry asks the archive in between. An order in a
-/// part still to come must not be called "not run".
+/// A large ledger is transferred in parts, and an entry looks up an operation in between. An operation
+/// in a missing part must not be reported as "not run".
 #[test]
-fn a_ledger_in_parts_proves_absence_only_when_it_is_whole() {
+fn incomplete_ledger_does_not_prove_absence() {
     let mut fixture = Fixture::new();
     for (number, key) in (1..).zip(["c", "a", "b"]) {
         fixture.claim(key, number);
@@ -319,9 +319,9 @@
     for (index, part) in parts.into_iter().enumerate().rev() {
         assert!(archive.add_part(part.clone(), START));
         assert!(archive.add_part(part, START));
-        let listed = operations[..3].iter().filter(|o| archive.lookup(o).is_some()).count();
-        assert_eq!(3 - index, listed);
-        let whole = (index == 0).then_some(ClaimAnswer::NotRun);
-        assert_eq!(whole, archive.lookup(&operations[3]));
+        let known_count = operations[..3].iter().filter(|o| archive.lookup(o).is_some()).count();
+        assert_eq!(3 - index, known_count);
+        let expected = (index == 0).then_some(ClaimAnswer::NotRun);
+        assert_eq!(expected, archive.lookup(&operations[3]));
     }
 }
--- a/crates/once/tests/session.rs
+++ b/crates/once/tests/session.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_session_keeps_its_text_form() {
+fn session_text_form_is_stable() {
     let session = issuer().issue(Mono::from_millis(10));
     insta::assert_snapshot!(session);
     let actual: Session = session.to_string().parse().unwrap();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn hostile_session_text_is_an_error_and_never_a_panic() {
+fn arbitrary_text_is_rejected_without_a_panic() {
     fn property(text: String) -> bool {
         text.parse::<Session>().is_err()
     }
@@ -43,16 +43,16 @@
         .quickcheck(property as fn(String) -> bool);
 }
 
-/// A caller lengthens the lifetime of its session, or guesses another's serial, to have an
-/// operation run a second time. Changed text must never be granted, wherever the change is.
+/// Guards against a caller that changes the lifetime of its session, or guesses the serial of another
+/// one, to have an operation run a second time. A change at any position must be detected.
 #[test]
-fn a_changed_session_is_never_granted() {
+fn tampered_session_is_never_granted() {
     let mut issuer = issuer();
     let text = issuer.issue(Mono::from_millis(10)).to_string();
-    for at in 0..text.len() {
+    for position in 0..text.len() {
         for replacement in [b'0', b'1', b'~', b'A', 0x7f] {
             let mut bytes = text.clone().into_bytes();
-            bytes[at] = replacement;
+            bytes[position] = replacement;
             let changed = String::from_utf8(bytes).unwrap();
             if changed == text {
                 continue;
@@ -61,8 +61,8 @@
                 continue;
             };
             let actual = claim_of(session, &mut issuer);
-            let refused = [ClaimAnswer::BadSession, ClaimAnswer::MayHaveRun].contains(&actual);
-            assert!(refused, "{changed} was answered {actual:?}");
+            let is_rejected = [ClaimAnswer::BadSession, ClaimAnswer::MayHaveRun].contains(&actual);
+            assert!(is_rejected, "{changed} was answered {actual:?}");
         }
     }
     assert_eq!(ClaimAnswer::Granted, claim_of(text.parse().unwrap(), &mut issuer));
