--- a/crates/types/src/address.rs
+++ b/crates/types/src/address.rs
@@ -1,4 +1,4 @@
-//! Where a process listens.
+//! Network addresses of processes.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,18 +8,18 @@
 
 use crate::ParseError;
 
-/// An IP address and port; never a host name, since machines are reached by IP number.
+/// IP address and port. Host names are not accepted, because machines are reached by IP address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Endpoint(SocketAddr);
 
 impl Endpoint {
-    /// Wraps a socket address.
+    /// Creates an endpoint from a socket address.
     pub fn new(address: SocketAddr) -> Self {
         Self(address)
     }
 
-    /// The socket address.
+    /// Returns the socket address.
     pub fn address(self) -> SocketAddr {
         self.0
     }
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -1,4 +1,4 @@
-//! Names of machines, zones, customers and back ends.
+//! Names of services, targets, VMs, failure domains, regions and callers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 
 use crate::ParseError;
 
-/// Names longer than this are refused; it bounds header, log and message sizes.
+/// Maximum length of a name, which limits the sizes of headers, log lines and messages.
 const MAX_NAME_BYTES: usize = 128;
 
 fn is_name_char(c: char) -> bool {
@@ -31,16 +31,16 @@
         pub struct $name(String);
 
         impl $name {
-            /// Checks and wraps a name.
+            /// Validates a name.
             ///
             /// # Errors
-            /// When the name is empty, over 128 bytes or has a character outside
-            /// `[A-Za-z0-9._-]`.
+            /// Returns an error if the name is empty, longer than 128 bytes or contains a
+            /// character outside `[A-Za-z0-9._-]`.
             pub fn new(text: &str) -> Result<Self, ParseError> {
                 check_name(text).map(Self)
             }
 
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -77,26 +77,26 @@
 }
 
 name_type! {
-    /// A set of targets that answer the same kind of request.
+    /// Name of a service: a set of targets that serve the same kind of request.
     ServiceName
 }
 name_type! {
-    /// One back-end server, unique over all services.
+    /// Identifier of a target, unique over all services.
     TargetId
 }
 name_type! {
-    /// One entry VM, which runs one `shallotd`.
+    /// Identifier of an entry VM, which runs one `shallotd`.
     VmId
 }
 name_type! {
-    /// A group of machines that tend to fail together.
+    /// Name of a failure domain: a group of machines that tend to fail together.
     FailureDomain
 }
 name_type! {
-    /// A group of failure domains near each other.
+    /// Name of a region: a group of failure domains near each other.
     Region
 }
 name_type! {
-    /// The application or organisation that sends a request.
+    /// Name of a caller: the application or organisation that sends a request.
     CallerName
 }
--- a/crates/types/src/key.rs
+++ b/crates/types/src/key.rs
@@ -1,4 +1,4 @@
-//! Identifiers of processes and of non-idempotent operations.
+//! Identifiers of non-idempotent operations and of process incarnations.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,15 +9,16 @@
 
 const MAX_KEY_BYTES: usize = 128;
 
-/// The caller's name for one non-idempotent operation, unique within its session.
+/// Key that a caller chooses for one non-idempotent operation, unique within the session.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IdempotencyKey(String);
 
 impl IdempotencyKey {
-    /// Checks and wraps a key.
+    /// Validates a key.
     ///
     /// # Errors
-    /// When the key is empty, over 128 bytes or has a character that is not visible ASCII.
+    /// Returns an error if the key is empty, longer than 128 bytes or contains a character that is not
+    /// visible ASCII.
     pub fn new(text: &str) -> Result<Self, ParseError> {
         let fits = !text.is_empty() && text.len() <= MAX_KEY_BYTES;
         if !fits || !text.chars().all(|c| c.is_ascii_graphic()) {
@@ -26,7 +27,7 @@
         Ok(Self(text.to_owned()))
     }
 
-    /// The key as text.
+    /// Returns the key as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -46,32 +47,33 @@
     }
 }
 
-/// Bits of an incarnation that are drawn at random; the time in the others lasts for centuries.
-const DRAWN_BITS: u32 = 20;
+/// Number of random low bits of an incarnation. The remaining bits hold the start time and overflow only
+/// after centuries.
+const RANDOM_BITS: u32 = 20;
 
-/// One run of a process on a VM.
+/// Identifier of one run of a process on a VM.
 ///
-/// A restarted process has lost its memory; its new incarnation keeps it from being taken for
-/// the process that made earlier promises. Of two runs on one VM the later one is the greater, unless
-/// its wall clock was set back between them.
+/// A restarted process has lost its state; its new incarnation distinguishes it from the process that
+/// made earlier commitments. Of two runs on one VM, the later one has the greater incarnation unless
+/// the wall clock was set back between them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Incarnation(u64);
 
 impl Incarnation {
-    /// Wraps a number drawn by the caller.
+    /// Creates an incarnation from its number.
     pub fn new(value: u64) -> Self {
         Self(value)
     }
 
-    /// A run that starts at this wall-clock time, in Unix milliseconds; a number drawn by the caller
-    /// tells two starts at the same time apart.
-    pub fn from_start_time(unix_ms: u64, drawn: u64) -> Self {
-        let drawn_mask = (1 << DRAWN_BITS) - 1;
-        Self((unix_ms << DRAWN_BITS) | (drawn & drawn_mask))
+    /// Creates the incarnation of a process that starts at this wall-clock time, in Unix milliseconds.
+    /// The random number distinguishes two starts at the same time.
+    pub fn from_start_time(unix_ms: u64, random: u64) -> Self {
+        let random_mask = (1 << RANDOM_BITS) - 1;
+        Self((unix_ms << RANDOM_BITS) | (random & random_mask))
     }
 
-    /// The number itself, for wire formats.
+    /// Returns the number, for wire formats.
     pub fn value(self) -> u64 {
         self.0
     }
@@ -87,10 +89,10 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let whole = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
+        let is_well_formed = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
         let value = u64::from_str_radix(text, 16);
         match value {
-            Ok(value) if whole => Ok(Self(value)),
+            Ok(value) if is_well_formed => Ok(Self(value)),
             _ => Err(ParseError::new("16 hexadecimal digits", text)),
         }
     }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,6 +1,6 @@
-//! Value types shared by every crate: identifiers, sizes, rates, monotonic time and the verdict.
+//! Value types shared by all crates: identifiers, sizes, rates, monotonic time and the verdict.
 //!
-//! Nothing here does I/O or reads a clock.
+//! The crate does no I/O and reads no clock.
 
 mod address;
 mod id;
--- a/crates/types/src/list_name.rs
+++ b/crates/types/src/list_name.rs
@@ -1,4 +1,4 @@
-//! Names of the lists that the platform publishes.
+//! Names of published lists.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,13 +12,13 @@
 const TARGETS_PREFIX: &str = "targets.";
 const RULES_PREFIX: &str = "rules.";
 
-/// One published list; each has its own content and revision.
+/// Name of a published list; each list has its own content and revision.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum ListName {
-    /// The general rule list.
+    /// The rules that apply to all services.
     Rules,
-    /// The rules of one service, which go before the general ones.
+    /// The rules of one service, which take precedence over the general rules.
     ServiceRules(ServiceName),
     /// The targets of one service.
     Targets(ServiceName),
--- a/crates/types/src/parse.rs
+++ b/crates/types/src/parse.rs
@@ -1,9 +1,9 @@
-//! The error that every `FromStr` of this crate returns.
+//! Error of the `FromStr` implementations.
 
 use std::error::Error;
 use std::fmt;
 
-/// When a text is not a valid value of a type.
+/// A text is not a valid value of a type.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseError {
     expected: String,
@@ -11,7 +11,7 @@
 }
 
 impl ParseError {
-    /// Reports that `found` is not `expected`, a short description such as "a whole number".
+    /// Creates an error for the input `found`; `expected` is a short description such as "a whole number".
     pub fn new(expected: &str, found: &str) -> Self {
         let mut shown: String = found.chars().take(MAX_SHOWN_CHARS).collect();
         if shown.len() < found.len() {
@@ -21,7 +21,7 @@
     }
 }
 
-/// Longer input is cut in messages, so that hostile input cannot flood the log.
+/// Longer input is truncated in messages, so that hostile input cannot flood the log.
 const MAX_SHOWN_CHARS: usize = 64;
 
 impl fmt::Display for ParseError {
--- a/crates/types/src/rate.rs
+++ b/crates/types/src/rate.rs
@@ -1,4 +1,4 @@
-//! Rates and shares.
+//! Rates, shares and processor capacity.
 
 use std::fmt;
 use std::str::FromStr;
@@ -18,12 +18,12 @@
         pub struct $name(u32);
 
         impl $name {
-            /// Wraps a number of this unit.
+            /// Creates a value from a number of this unit.
             pub const fn new(value: u32) -> Self {
                 Self(value)
             }
 
-            /// The number itself.
+            /// Returns the number.
             pub const fn value(self) -> u32 {
                 self.0
             }
@@ -48,38 +48,38 @@
 }
 
 number_type! {
-    /// Thousandths of a whole.
+    /// A share in thousandths.
     Permille, "‰"
 }
 number_type! {
-    /// Events in a second.
+    /// A rate in events per second.
     PerSecond, "/s"
 }
 number_type! {
-    /// Thousandths of a processor core.
+    /// An amount of processor capacity in thousandths of a core.
     Millicores, "m"
 }
 
 number_type! {
-    /// Bytes in a second.
+    /// A data rate in bytes per second.
     BytesPerSecond, "B/s"
 }
 
 impl Permille {
-    /// This share of `whole`, rounded down.
+    /// Returns this share of `whole`, rounded down.
     pub fn of(self, whole: u64) -> u64 {
         whole.saturating_mul(u64::from(self.0)) / 1000
     }
 }
 
 impl BytesPerSecond {
-    /// This share of the rate, rounded down.
+    /// Returns this share of the rate, rounded down.
     #[must_use]
     pub fn share(self, share: Permille) -> Self {
         Self(u32::try_from(share.of(u64::from(self.0))).unwrap_or(u32::MAX))
     }
 
-    /// Time that so many bytes take; [`Duration::MAX`] at a rate of zero.
+    /// Returns the time to transmit `bytes` at this rate; [`Duration::MAX`] if the rate is zero.
     pub fn time_for(self, bytes: Bytes) -> Duration {
         if self.0 == 0 {
             return Duration::MAX;
@@ -89,7 +89,7 @@
 }
 
 impl PerSecond {
-    /// Time between two events at this rate; `None` when the rate is zero.
+    /// Returns the time between two events at this rate; `None` if the rate is zero.
     pub fn spacing(self) -> Option<Duration> {
         if self.0 == 0 {
             return None;
--- a/crates/types/src/rendezvous.rs
+++ b/crates/types/src/rendezvous.rs
@@ -1,15 +1,15 @@
-//! Rendezvous hashing: the same choice in every process that knows the same names.
+//! Rendezvous hashing: processes that know the same names make the same choice.
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
-/// Separates the two names, so that ("ab", "c") and ("a", "bc") differ; no name may hold it.
+/// Separates the two names, so that ("ab", "c") and ("a", "bc") differ; names cannot contain it.
 const SEPARATOR: u8 = 0;
 
-/// The weight of `candidate` for `key`; the candidate with the highest weight is chosen.
+/// Returns the weight of `candidate` for `key`; the candidate with the highest weight is chosen.
 ///
-/// The function is part of the agreement between processes: all of a fleet must compute the same
-/// weights, so it never changes with the platform or the build. FNV-1a, then the finaliser of
-/// `MurmurHash3` so that similar names get unrelated weights.
+/// All processes of a fleet must compute the same weights, so the function must not depend on the
+/// architecture or the build. It applies FNV-1a and then the finaliser of `MurmurHash3`, so that
+/// similar names get unrelated weights.
 pub fn rendezvous_weight(key: &str, candidate: &str) -> u64 {
     let bytes = key.bytes().chain([SEPARATOR]).chain(candidate.bytes());
     let hash =
--- a/crates/types/src/report.rs
+++ b/crates/types/src/report.rs
@@ -1,4 +1,4 @@
-//! What the operators' port answers: JSON for `GET /v1/status` and `GET /v1/audit`.
+//! JSON responses of the operators' port to `GET /v1/status` and `GET /v1/audit`.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,30 +6,30 @@
     Endpoint, FailureDomain, Incarnation, ListName, Revision, ServiceName, TargetId, VmId,
 };
 
-/// The state of one entry.
+/// Status of one entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// The entry's VM.
+    /// VM of the entry.
     pub vm: VmId,
-    /// The run of the process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Where the process is in its life cycle.
+    /// Life cycle state of the process.
     pub state: LifeCycleState,
-    /// Highest revision that the platform was seen at.
+    /// Highest revision of the platform that this entry has observed.
     pub synced_revision: Revision,
     /// Lists in force, ordered by name.
     pub lists: Vec<ListStatus>,
-    /// Targets of all services.
+    /// State of the targets of all services.
     pub targets: Vec<TargetStatus>,
-    /// Sessions and ledger.
+    /// State of sessions and the ledger.
     pub sessions: SessionStatus,
-    /// Budgets for extra work.
+    /// Use of the budgets for additional work.
     pub budgets: BudgetStatus,
-    /// Entries that this entry knows of.
+    /// Entries known to this entry.
     pub entries: Vec<EntryStatus>,
 }
 
-/// Where a process is in its life cycle.
+/// Life cycle state of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LifeCycleState {
@@ -37,127 +37,127 @@
     Starting,
     /// Serving callers.
     Serving,
-    /// Finishing what is in flight.
+    /// Finishing the requests in flight.
     Leaving,
-    /// Done.
+    /// All work is finished.
     Stopped,
 }
 
-/// One list in force.
+/// Status of one list in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListStatus {
-    /// The list.
+    /// Name of the list.
     pub name: ListName,
-    /// Revision in force; 0 when none is.
+    /// Revision in force; 0 if there is none.
     pub revision: Revision,
     /// SHA-256 of the content in force, as hexadecimal text.
     pub digest: String,
-    /// How long it has been in force.
+    /// Time for which the revision has been in force, in milliseconds.
     pub in_force_ms: u64,
-    /// Highest revision that was refused because it is not valid, if above the one in force.
+    /// Highest revision that was rejected as invalid, if it is higher than the one in force.
     pub refused_revision: Option<Revision>,
 }
 
-/// One target as an entry sees it.
+/// State of one target in the view of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetStatus {
-    /// The target.
+    /// Identifier of the target.
     pub id: TargetId,
-    /// Its service.
+    /// Service of the target.
     pub service: ServiceName,
-    /// Such as `serving`, `draining` or `ejected`.
+    /// State, such as `serving`, `draining` or `ejected`.
     pub state: String,
-    /// Requests of this entry at the target.
+    /// Number of requests that this entry has in flight at the target.
     pub in_flight: u32,
 }
 
-/// Sessions and ledger of one entry.
+/// Status of the sessions and the ledger of one entry.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionStatus {
-    /// Sessions issued since the start.
+    /// Number of sessions issued since the start of the process.
     pub issued: u64,
-    /// Operations in the ledger.
+    /// Number of operations in the ledger.
     pub operations: u64,
-    /// Bytes of answers kept for repeats.
+    /// Size of the answers kept for repeats, in bytes.
     pub kept_bytes: u64,
-    /// Sealed ledgers held for entries that left.
+    /// Number of sealed ledgers held for entries that have left.
     pub sealed_ledgers: u64,
 }
 
-/// Use of the budgets for extra work since the start.
+/// Use of the budgets for additional work since the start of the process.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetStatus {
-    /// First attempts.
+    /// Number of first attempts.
     pub attempts: u64,
-    /// Retries sent.
+    /// Number of retries sent.
     pub retries: u64,
-    /// Hedges sent.
+    /// Number of hedges sent.
     pub hedges: u64,
-    /// Probes sent.
+    /// Number of probes sent.
     pub probes: u64,
-    /// Calls to the platform.
+    /// Number of calls to the platform.
     pub platform_calls: u64,
 }
 
-/// One entry as another entry sees it.
+/// State of one entry in the view of another entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryStatus {
-    /// The entry's VM.
+    /// VM of the entry.
     pub vm: VmId,
-    /// Its failure domain.
+    /// Failure domain of the entry.
     pub failure_domain: FailureDomain,
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: Endpoint,
-    /// Such as `live`, `suspected` or `leaving`.
+    /// State, such as `live`, `suspected` or `leaving`.
     pub state: String,
 }
 
-/// The trail of changes that one entry saw take effect.
+/// Audit trail of one entry: the list changes that it processed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditReport {
-    /// The entry's VM.
+    /// VM of the entry.
     pub vm: VmId,
-    /// Changes, oldest first; the oldest ones are dropped when the trail is full.
+    /// Changes, oldest first; the oldest changes are dropped when the trail is full.
     pub changes: Vec<AuditChange>,
 }
 
-/// One change of a list, or a refusal of one.
+/// One accepted or rejected change of a list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditChange {
-    /// Wall-clock time in RFC 3339; for people, never compared by the system.
+    /// Wall-clock time in RFC 3339 format; only for display, never compared by the system.
     pub at: String,
-    /// The list.
+    /// Name of the list.
     pub list: ListName,
-    /// Revision in force before; `None` when none was.
+    /// Revision in force before the change; `None` if there was none.
     pub from_revision: Option<Revision>,
-    /// Revision that was offered.
+    /// Offered revision.
     pub to_revision: Revision,
     /// SHA-256 of the offered content, as hexadecimal text.
     pub digest: String,
-    /// What became of it.
+    /// Result of processing the change.
     pub outcome: AuditOutcome,
-    /// Where it came from: `platform` or `peer VM`.
+    /// Source of the change: `platform` or `peer VM`.
     pub source: String,
 }
 
-/// What became of an offered list.
+/// Result of processing an offered list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AuditOutcome {
-    /// It is in force.
+    /// The offered list is in force.
     Accepted,
-    /// Refused: it is not valid.
+    /// Rejected: the list is invalid.
     Invalid,
-    /// Refused: a higher revision is in force.
+    /// Rejected: a higher revision is in force.
     Lower,
-    /// Another content has the same revision; this one is in force.
+    /// Two contents have the same revision; the offered one is in force.
     ConflictAccepted,
-    /// Another content has the same revision and stays in force.
+    /// Two contents have the same revision; the other one stays in force.
     ConflictRefused,
 }
 
 impl AuditOutcome {
-    /// The text used in reports and metrics.
+    /// Returns the text used in reports and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
--- a/crates/types/src/request_rate.rs
+++ b/crates/types/src/request_rate.rs
@@ -46,7 +46,7 @@
         Self { milli_per_s: self.milli_per_s / (parts.max(1) as u64) }
     }
 
-    /// Returns this part of the rate, rounded down.
+    /// Returns this share of the rate, rounded down.
     #[must_use]
     pub fn part(self, part: Permille) -> Self {
         Self { milli_per_s: part.of(self.milli_per_s) }
--- a/crates/types/src/revision.rs
+++ b/crates/types/src/revision.rs
@@ -7,7 +7,7 @@
 
 use crate::ParseError;
 
-/// The platform's number for one version of a published list; higher is newer.
+/// Number that the platform assigns to one version of a published list; a higher revision is newer.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -18,12 +18,12 @@
     /// The revision before any list was published.
     pub const NONE: Self = Self(0);
 
-    /// Wraps the platform's number.
+    /// Creates a revision from the number assigned by the platform.
     pub const fn new(value: u64) -> Self {
         Self(value)
     }
 
-    /// The number itself.
+    /// Returns the number.
     pub const fn value(self) -> u64 {
         self.0
     }
--- a/crates/types/src/size.rs
+++ b/crates/types/src/size.rs
@@ -10,7 +10,7 @@
 const KIB: u64 = 1024;
 const MIB: u64 = 1024 * KIB;
 
-/// A number of bytes; its text form takes the suffixes `KiB` and `MiB`.
+/// A size in bytes; its text form may have the suffix `KiB` or `MiB`.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -18,22 +18,22 @@
 pub struct Bytes(u64);
 
 impl Bytes {
-    /// Wraps a number of bytes.
+    /// Creates a size from a number of bytes.
     pub const fn new(value: u64) -> Self {
         Self(value)
     }
 
-    /// Wraps a number of kibibytes.
+    /// Creates a size from a number of kibibytes.
     pub const fn from_kib(value: u64) -> Self {
         Self(value * KIB)
     }
 
-    /// Wraps a number of mebibytes.
+    /// Creates a size from a number of mebibytes.
     pub const fn from_mib(value: u64) -> Self {
         Self(value * MIB)
     }
 
-    /// The number of bytes.
+    /// Returns the number of bytes.
     pub const fn value(self) -> u64 {
         self.0
     }
@@ -54,8 +54,8 @@
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
         let (digits, unit) = split_unit(text);
-        let count: u64 = digits.parse().map_err(|_| expected(text))?;
-        count.checked_mul(unit).map(Self).ok_or_else(|| expected(text))
+        let count: u64 = digits.parse().map_err(|_| size_error(text))?;
+        count.checked_mul(unit).map(Self).ok_or_else(|| size_error(text))
     }
 }
 
@@ -69,6 +69,6 @@
     (text, 1)
 }
 
-fn expected(found: &str) -> ParseError {
+fn size_error(found: &str) -> ParseError {
     ParseError::new("a size such as 4096, 64KiB or 8MiB", found)
 }
--- a/crates/types/src/verdict.rs
+++ b/crates/types/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What is known about whether a request ran at a target.
+//! Verdict on whether a request ran at a target.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,8 +9,8 @@
 
 /// Whether a failed request may have run.
 ///
-/// `NotRun` needs proof that no target started the request, or will. Without proof the verdict is
-/// `MayHaveRun`: a timeout or a connection reset after the first byte proves nothing.
+/// `NotRun` requires proof that no target has started the request or will start it. Without proof the
+/// verdict is `MayHaveRun`: a timeout, or a connection reset after the first byte, proves nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
@@ -23,7 +23,7 @@
 }
 
 impl Verdict {
-    /// The text used in headers and messages.
+    /// Returns the text used in headers and messages.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
--- a/crates/types/src/warmup.rs
+++ b/crates/types/src/warmup.rs
@@ -1,14 +1,14 @@
-//! How targets warm up.
+//! Warm-up of targets after their start.
 
 use std::time::Duration;
 
 use crate::RequestRate;
 
-/// What the targets of a service bear while they are cold.
+/// Warm-up parameters of the targets of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Warmup {
-    /// The longest time for which a target stays cold.
+    /// Maximum time for which a target stays cold.
     pub duration: Duration,
-    /// Requests that a cold target bears, from all processes together.
+    /// Rate of requests that a cold target can handle, from all entries together.
     pub rate: RequestRate,
 }
--- a/crates/types/tests/text.rs
+++ b/crates/types/tests/text.rs
@@ -1,4 +1,4 @@
-//! Every type's text form reads back as the same value, and bad text is refused.
+//! Round trips of text forms, and rejection of invalid text.
 
 use quickcheck::{Gen, QuickCheck};
 use shallotfork_types::{
@@ -7,7 +7,7 @@
 
 const SEED: u64 = 0x5e1f;
 
-fn checker() -> QuickCheck {
+fn quickcheck() -> QuickCheck {
     QuickCheck::new().rng(Gen::from_size_and_seed(64, SEED)).tests(500)
 }
 
@@ -23,27 +23,27 @@
             && Permille::new(small).to_string().parse() == Ok(Permille::new(small))
             && PerSecond::new(small).to_string().parse() == Ok(PerSecond::new(small))
     }
-    checker().quickcheck(property as fn(u64) -> bool);
+    quickcheck().quickcheck(property as fn(u64) -> bool);
 }
 
 #[test]
-fn names_take_what_they_print_and_nothing_else() {
+fn names_accept_only_their_own_text_form() {
     fn property(text: String) -> bool {
-        let plain = !text.is_empty()
+        let is_valid = !text.is_empty()
             && text.len() <= 128
             && text.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
         match text.parse::<ServiceName>() {
-            Ok(name) => plain && name.to_string() == text,
-            Err(_) => !plain,
+            Ok(name) => is_valid && name.to_string() == text,
+            Err(_) => !is_valid,
         }
     }
-    checker().quickcheck(property as fn(String) -> bool);
+    quickcheck().quickcheck(property as fn(String) -> bool);
 }
 
 #[test]
-fn bad_text_is_refused_with_a_reason() {
+fn invalid_text_is_rejected_with_a_reason() {
     let expected = "expected 1 to 128 visible ASCII characters, found \"a b\"";
-    let actual = "a b".parse::<IdempotencyKey>().expect_err("a space is refused").to_string();
+    let actual = "a b".parse::<IdempotencyKey>().expect_err("a space is invalid").to_string();
     assert_eq!(expected, actual);
     assert!("9999999999999999MiB".parse::<Bytes>().is_err());
     assert!("+123456789abcdef".parse::<Incarnation>().is_err());
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn monotonic_time_never_goes_below_zero() {
+fn elapsed_time_is_never_negative() {
     let early = Mono::from_millis(1);
     let late = Mono::from_millis(3);
     assert_eq!(2, late.since(early).as_millis());
