--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -102,8 +102,8 @@
 /// Reads published items from a platform.
 ///
 /// No call retries, waits or caches; that is up to the calling code. It also sets `silence_max`, the
-/// longest time without received data after which a call fails. The total duration of a response is
-/// not limited, since it depends on its size and on the link of the VM.
+/// longest time without received data after which a call fails. The total duration of a response depends
+/// on its size and on the link of the VM.
 #[async_trait]
 pub trait Feed: Debug + Send + Sync {
     /// Reads the page of items whose keys sort after `after`, or the first page if it is `None`.
--- a/crates/once/src/answer.rs
+++ b/crates/once/src/answer.rs
@@ -49,8 +49,8 @@
     /// The outcome is unknown: the session expired or belongs to another incarnation, or the executor
     /// died.
     MayHaveRun,
-    /// The ledger is full, so the operation has not run and never will under this session and key; the
-    /// caller can use a new session after `retry_after`.
+    /// The ledger or the session is full, so the operation has not run and never will under this session
+    /// and key; the caller can use a new session after `retry_after`.
     Full {
         /// Time until the ledger is expected to have capacity again.
         retry_after: Duration,
--- a/crates/types/src/rendezvous.rs
+++ b/crates/types/src/rendezvous.rs
@@ -7,7 +7,7 @@
 
 /// Returns the weight of `candidate` for `key`; the candidate with the highest weight is chosen.
 ///
-/// All processes of a fleet must compute the same weights, so the function must not depend on the
+/// All processes of a fleet must compute the same weights, so the function must never change with the
 /// architecture or the build. It applies FNV-1a and then the finaliser of `MurmurHash3`, so that
 /// similar names get unrelated weights.
 pub fn rendezvous_weight(key: &str, candidate: &str) -> u64 {
