--- a/crates/evacuation/src/evacuations.rs
+++ b/crates/evacuation/src/evacuations.rs
@@ -9,7 +9,7 @@
 
 /// What is published of a failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Known {
+pub enum PublishedState {
     /// It is to be evacuated.
     Evacuated,
     /// Something that can't be read; what was in force stays.
@@ -26,7 +26,7 @@
     /// Revision of the change.
     pub revision: Revision,
     /// What is published since then.
-    pub known: Known,
+    pub published: PublishedState,
 }
 
 /// A failure domain whose targets get nothing more.
@@ -98,7 +98,8 @@
             self.records.iter().filter(is_missing).map(|(domain, _)| domain.clone()).collect();
         let mut events = self.apply(published, now);
         for failure_domain in missing {
-            let ended = EvacuationChange { failure_domain, revision, known: Known::Removed };
+            let ended =
+                EvacuationChange { failure_domain, revision, published: PublishedState::Removed };
             events.extend(self.apply_one(ended, now));
         }
         self.read_through = self.read_through.max(revision);
@@ -120,7 +121,7 @@
     }
 
     fn apply_one(&mut self, change: EvacuationChange, now: Mono) -> Option<EvacuationEvent> {
-        let EvacuationChange { failure_domain, revision, known: published } = change;
+        let EvacuationChange { failure_domain, revision, published } = change;
         let before = self.records.get(&failure_domain).copied();
         let known = before.map_or(Revision::NONE, |before| before.revision);
         if revision < known.max(self.read_through) {
@@ -128,9 +129,9 @@
         }
         let evacuated_before = before.and_then(|before| before.evacuated_at);
         let evacuated_at = match published {
-            Known::Evacuated => Some(evacuated_before.unwrap_or(now)),
-            Known::Unreadable => evacuated_before,
-            Known::Removed => None,
+            PublishedState::Evacuated => Some(evacuated_before.unwrap_or(now)),
+            PublishedState::Unreadable => evacuated_before,
+            PublishedState::Removed => None,
         };
         let record = Record { revision, evacuated_at };
         self.records.insert(failure_domain.clone(), record);
--- a/crates/evacuation/src/lib.rs
+++ b/crates/evacuation/src/lib.rs
@@ -2,4 +2,4 @@
 
 mod evacuations;
 
-pub use evacuations::{Evacuation, EvacuationChange, EvacuationEvent, Evacuations, Known};
+pub use evacuations::{Evacuation, EvacuationChange, EvacuationEvent, Evacuations, PublishedState};
--- a/crates/evacuation/tests/evacuations.rs
+++ b/crates/evacuation/tests/evacuations.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use quickcheck::QuickCheck;
-use shallotfork_evacuation::{EvacuationChange, EvacuationEvent, Evacuations, Known};
+use shallotfork_evacuation::{EvacuationChange, EvacuationEvent, Evacuations, PublishedState};
 use shallotfork_types::{FailureDomain, Mono, Revision};
 
 fn domain(name: &str) -> FailureDomain {
@@ -11,8 +11,8 @@
 }
 
 fn change(name: &str, revision: u64, evacuated: bool) -> EvacuationChange {
-    let known = if evacuated { Known::Evacuated } else { Known::Removed };
-    EvacuationChange { failure_domain: domain(name), revision: Revision::new(revision), known }
+    let published = if evacuated { PublishedState::Evacuated } else { PublishedState::Removed };
+    EvacuationChange { failure_domain: domain(name), revision: Revision::new(revision), published }
 }
 
 fn at(ms: u64) -> Mono {
@@ -74,8 +74,10 @@
 /// Guards against an evacuation that ends because its item was overwritten by one that can't be read.
 #[test]
 fn what_cannot_be_read_neither_begins_nor_ends_an_evacuation() {
-    let unreadable =
-        |revision| EvacuationChange { known: Known::Unreadable, ..change("hall", revision, true) };
+    let unreadable = |revision| EvacuationChange {
+        published: PublishedState::Unreadable,
+        ..change("hall", revision, true)
+    };
     let mut evacuations = Evacuations::new();
     assert_eq!(evacuations.apply(vec![unreadable(3)], at(0)), []);
     evacuations.apply(vec![change("hall", 5, true)], at(0));
@@ -100,7 +102,7 @@
             for _ in 0..times {
                 if !whole {
                     evacuations.apply(vec![published.clone()], at(0));
-                } else if published.known == Known::Evacuated {
+                } else if published.published == PublishedState::Evacuated {
                     evacuations.replace(vec![published.clone()], of_read, at(0));
                 } else {
                     evacuations.replace(Vec::new(), of_read, at(0));
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -5,7 +5,7 @@
 
 use async_trait::async_trait;
 use shallotfork_evacuation::EvacuationChange;
-use shallotfork_roster::Change;
+use shallotfork_roster::TargetChange;
 use shallotfork_routes::RouteTable;
 use shallotfork_types::Revision;
 use thiserror::Error;
@@ -82,7 +82,7 @@
     /// What became of a target's entry.
     Target {
         /// The change.
-        change: Change,
+        change: TargetChange,
         /// What in the entry is not valid and was left out.
         ignored: Option<String>,
     },
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -9,7 +9,7 @@
 use shallotfork_events::slog::Logger;
 use shallotfork_exchange::{BodyBudget, ServeControl, TargetLinks};
 use shallotfork_lifecycle::Phase;
-use shallotfork_measure::{Lateness, RateLimits};
+use shallotfork_measure::{RateLimits, SchedulingDelay};
 use shallotfork_quarantine::{FingerprintKey, Quarantine};
 use shallotfork_routes::{Route, RouteName, Splitter};
 use shallotfork_timer::Clock;
@@ -72,7 +72,7 @@
     /// Signalled when a request begins.
     pub begins: Notify,
     /// How late the traffic threads do their work.
-    pub lateness: Mutex<Lateness>,
+    pub lateness: Mutex<SchedulingDelay>,
     /// Rate limits advertised by targets.
     pub rate_limits: Mutex<RateLimits>,
     /// Key for request fingerprints.
@@ -139,7 +139,7 @@
 
     /// A piece of work was done so much later than planned.
     pub fn note_lateness(&self, late: Duration) {
-        lock(&self.lateness).note(late, self.clock.now());
+        lock(&self.lateness).record(late, self.clock.now());
     }
 
     /// Whether callers are told to come here.
--- a/crates/gateway/src/control/beats.rs
+++ b/crates/gateway/src/control/beats.rs
@@ -5,7 +5,7 @@
 
 use shallotfork_events::{RESUMED, event};
 use shallotfork_fleet::{OwnState, PERIOD, first_seed};
-use shallotfork_measure::Lateness;
+use shallotfork_measure::SchedulingDelay;
 use shallotfork_timer::{Schedule, TimerService};
 use shallotfork_types::Endpoint;
 
@@ -24,11 +24,11 @@
     tokio::task::spawn_local(first_beat(Rc::clone(&state)));
     let schedule = Schedule::new(PERIOD).with_jitter(PERIOD / 10);
     let mut ticks = timer.subscribe(schedule);
-    let mut lateness = Lateness::new();
+    let mut lateness = SchedulingDelay::new();
     while let Some(tick) = ticks.tick().await {
-        lateness.note(tick.late, tick.now);
-        if tick.late > STOOD_STILL {
-            let late_ms = u64::try_from(tick.late.as_millis()).unwrap_or(u64::MAX);
+        lateness.record(tick.delay, tick.now);
+        if tick.delay > STOOD_STILL {
+            let late_ms = u64::try_from(tick.delay.as_millis()).unwrap_or(u64::MAX);
             let revision = state.archive.borrow().position();
             event!(state.context.log, RESUMED, "late_ms" => late_ms,
                 "revision" => revision.value());
--- a/crates/gateway/src/control/publish.rs
+++ b/crates/gateway/src/control/publish.rs
@@ -9,8 +9,8 @@
     EVACUATION_BEGUN, EVACUATION_ENDED, EVACUATION_INVALID, PUBLISHED_IGNORED, ROUTES_ACCEPTED,
     ROUTES_REFUSED, TARGET_CHANGED, TARGETS_CHANGED, event,
 };
-use shallotfork_roster::{Availability, Change, RosterChange, TargetEntry};
-use shallotfork_routes::{Offer, RouteTable};
+use shallotfork_roster::{Availability, RosterChange, TargetChange, TargetRecord};
+use shallotfork_routes::{OfferOutcome, RouteTable};
 use shallotfork_types::{Revision, ServiceName, TargetId, Warmup};
 
 use crate::context::lock;
@@ -28,7 +28,7 @@
 /// Changes of targets and evacuations among published items.
 #[derive(Debug, Default)]
 struct Taken {
-    targets: Vec<Change>,
+    targets: Vec<TargetChange>,
     evacuations: Vec<EvacuationChange>,
 }
 
@@ -105,7 +105,7 @@
 
 fn offer(state: &State, table: RouteTable, revision: Revision) {
     let (version, routes) = (table.version(), table.routes().count());
-    if state.in_force.borrow_mut().offer(table) == Offer::Accepted {
+    if state.in_force.borrow_mut().offer(table) == OfferOutcome::Accepted {
         event!(state.context.log, ROUTES_ACCEPTED, "version" => version.number(),
             "routes" => routes, "revision" => revision.value());
     }
@@ -216,7 +216,7 @@
 fn publish_targets(state: &State) {
     let context = &state.context;
     let roster = state.roster.borrow();
-    let targets: HashMap<TargetId, TargetEntry> =
+    let targets: HashMap<TargetId, TargetRecord> =
         roster.targets().into_iter().map(|(id, entry)| (id.clone(), entry.clone())).collect();
     let by_service = by_service(&targets, &state.evacuations.borrow());
     let count = targets.len();
@@ -245,7 +245,7 @@
 /// The targets by service. Every entry may send to each of them, and prefers those nearby: what others
 /// send there it hears from the targets themselves, before it sends.
 fn by_service(
-    targets: &HashMap<TargetId, TargetEntry>,
+    targets: &HashMap<TargetId, TargetRecord>,
     evacuations: &Evacuations,
 ) -> BTreeMap<ServiceName, Vec<SlotTarget>> {
     let mut by_service: BTreeMap<ServiceName, Vec<SlotTarget>> = BTreeMap::new();
@@ -260,7 +260,7 @@
     by_service
 }
 
-fn slot_target(id: &TargetId, entry: &TargetEntry, evacuated: bool) -> SlotTarget {
+fn slot_target(id: &TargetId, entry: &TargetRecord, evacuated: bool) -> SlotTarget {
     SlotTarget {
         id: id.clone(),
         failure_domain: entry.failure_domain.clone(),
--- a/crates/gateway/src/control/reader.rs
+++ b/crates/gateway/src/control/reader.rs
@@ -172,8 +172,8 @@
     let away_since = state.fleet.borrow().sight.away_since(now);
     let before = state.away_since.replace(away_since);
     match (before, away_since) {
-        (None, Some(_)) => state.roster.borrow_mut().platform_lost(),
-        (Some(_), None) => state.roster.borrow_mut().platform_back(now),
+        (None, Some(_)) => state.roster.borrow_mut().platform_disconnected(),
+        (Some(_), None) => state.roster.borrow_mut().platform_reconnected(now),
         _ => return,
     }
     publish_away(state);
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -12,7 +12,7 @@
 use shallotfork_membership::{Announcement, ListedVm};
 use shallotfork_peer::Bundle;
 use shallotfork_roster::Roster;
-use shallotfork_routes::InForce;
+use shallotfork_routes::TableInForce;
 use shallotfork_types::{Endpoint, Mono, Revision, ServiceName};
 use tokio::sync::{Notify, watch};
 
@@ -32,7 +32,7 @@
     /// Connections to other entries.
     pub peers: Peers,
     /// The routes in force.
-    pub in_force: RefCell<InForce>,
+    pub in_force: RefCell<TableInForce>,
     /// The targets.
     pub roster: RefCell<Roster>,
     /// The evacuations of failure domains.
--- a/crates/gateway/src/control/thread.rs
+++ b/crates/gateway/src/control/thread.rs
@@ -11,7 +11,7 @@
 use anyhow::{Context as _, Result};
 use shallotfork_peer::{PeerConfig, PeerId, PeerKey, PeerServer};
 use shallotfork_roster::{Roster, RosterConfig};
-use shallotfork_routes::InForce;
+use shallotfork_routes::TableInForce;
 use shallotfork_timer::{Schedule, TimerService};
 use shallotfork_types::Endpoint;
 use tokio::net::TcpListener;
@@ -172,7 +172,7 @@
     State {
         fleet: RefCell::new(FleetMember::new(own_announcement(&context), context.clock.now())),
         peers: Peers::new(key.clone(), own.clone(), peer_config()),
-        in_force: RefCell::new(InForce::new()),
+        in_force: RefCell::new(TableInForce::new()),
         roster: RefCell::new(Roster::new(RosterConfig::default())),
         evacuations: RefCell::new(Evacuations::new()),
         feed,
--- a/crates/gateway/src/snapshot.rs
+++ b/crates/gateway/src/snapshot.rs
@@ -5,7 +5,7 @@
 
 use shallotfork_evacuation::Evacuation;
 use shallotfork_fleet::ActiveEntry;
-use shallotfork_roster::TargetEntry;
+use shallotfork_roster::TargetRecord;
 use shallotfork_routes::RouteTable;
 use shallotfork_types::{FailureDomain, Mono, Permille, TargetId};
 
@@ -15,7 +15,7 @@
     /// The routes in force; `None` before the first.
     pub table: Option<Arc<RouteTable>>,
     /// Every target, draining ones included.
-    pub targets: Arc<HashMap<TargetId, TargetEntry>>,
+    pub targets: Arc<HashMap<TargetId, TargetRecord>>,
     /// Failure domains whose targets get nothing more.
     pub evacuated: Arc<BTreeMap<FailureDomain, Evacuation>>,
     /// Since when the platform has not answered; `None` while it does.
--- a/crates/gateway/src/traffic/front.rs
+++ b/crates/gateway/src/traffic/front.rs
@@ -10,7 +10,7 @@
     CALLER_LEFT, CALLER_REFUSED, REQUEST_ANSWERED, REQUEST_NOT_ANSWERED, event,
 };
 use shallotfork_exchange::{ArrivedAt, BodyLimits, CallerPresence, WholeRequest, read_whole};
-use shallotfork_routes::Repeat;
+use shallotfork_routes::RepeatPolicy;
 use shallotfork_types::{Bytes, Mono, TargetId};
 
 use crate::context::Context;
@@ -82,7 +82,7 @@
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let name = host.rsplit_once(':').map_or(host, |(name, _port)| name).to_ascii_lowercase();
     let route = table.find(&name, head.uri.path());
-    route.is_some_and(|route| route.repeat == Repeat::Idempotent)
+    route.is_some_and(|route| route.repeat_policy == RepeatPolicy::Idempotent)
 }
 
 fn request_id(context: &Context, headers: &HeaderMap) -> Option<String> {
--- a/crates/gateway/src/traffic/job.rs
+++ b/crates/gateway/src/traffic/job.rs
@@ -8,7 +8,7 @@
 use shallotfork_balance::{SlotAsk, WorkClass};
 use shallotfork_exchange::{CALLER_HEADER, CallerPresence, WholeRequest};
 use shallotfork_quarantine::{RequestContent, RequestFingerprint};
-use shallotfork_routes::{Repeat, Route, TableVersion};
+use shallotfork_routes::{RepeatPolicy, Route, TableVersion};
 use shallotfork_types::{Mono, ServiceName, TargetId};
 
 use crate::context::Context;
@@ -114,7 +114,7 @@
 
     /// Whether a second run does no harm.
     pub fn is_repeatable(&self) -> bool {
-        self.route.repeat == Repeat::Idempotent
+        self.route.repeat_policy == RepeatPolicy::Idempotent
     }
 
     /// Time left at `now`.
@@ -130,7 +130,7 @@
     /// What it asks of the service's slots.
     pub fn ask(&self, tried: &[TargetId]) -> SlotAsk {
         SlotAsk::new(self.class(), self.arrived, self.objective, self.deadline)
-            .with_rank(self.route.urgency.rank())
+            .with_rank(self.route.priority.rank())
             .with_returning(self.waited >= RETURNING_AFTER || !tried.is_empty())
             .with_exclude(tried.to_vec())
     }
--- a/crates/measure/src/connection_budget.rs
+++ b/crates/measure/src/connection_budget.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Leave to open one connection now; give it back with `ConnectionBudget::finished`.
+/// Leave to open one connection now; give it back with `ConnectionBudget::release`.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ConnectionPermit {
     target: TargetId,
@@ -37,7 +37,7 @@
 
 /// Spaces new connections and bounds open ones by this process's fixed share.
 ///
-/// The fleet's sum holds for the same reasons as that of probes (see `ProbePlan`): no view of
+/// The fleet's sum holds for the same reasons as that of probes (see `ProbeScheduler`): no view of
 /// peers enters, a new process waits one spacing, and the spacing counts from the end of the
 /// attempt to connect.
 #[derive(Debug)]
@@ -84,7 +84,11 @@
     /// # Errors
     /// The earliest time to ask again; `None` when the target is unknown or another connection
     /// is being opened, whose end is to be awaited.
-    pub fn take(&mut self, target: &TargetId, now: Mono) -> Result<ConnectionPermit, Option<Mono>> {
+    pub fn try_acquire(
+        &mut self,
+        target: &TargetId,
+        now: Mono,
+    ) -> Result<ConnectionPermit, Option<Mono>> {
         let opening = self.targets.get_mut(target).ok_or(None)?;
         if opening.outstanding {
             return Err(None);
@@ -97,7 +101,7 @@
     }
 
     /// Notes that an attempt to connect ended, either way.
-    pub fn finished(&mut self, permit: ConnectionPermit, now: Mono) {
+    pub fn release(&mut self, permit: ConnectionPermit, now: Mono) {
         let next = now.plus(self.spacing());
         if let Some(opening) = self.targets.get_mut(&permit.target) {
             *opening = Opening { next, outstanding: false };
--- a/crates/measure/src/lateness.rs
+++ b/crates/measure/src/lateness.rs
@@ -14,19 +14,19 @@
 /// A process that has less processor time than its work takes sees nothing of it otherwise: what
 /// it has not read yet is in no queue of its own, and each of its answers looks quick.
 #[derive(Debug, Default)]
-pub struct Lateness {
+pub struct SchedulingDelay {
     smoothed: Duration,
     noted_at: Option<Mono>,
 }
 
-impl Lateness {
+impl SchedulingDelay {
     /// A process that is not late.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// A piece of work has waited for so long until `now`.
-    pub fn note(&mut self, waited: Duration, now: Mono) {
+    pub fn record(&mut self, waited: Duration, now: Mono) {
         let before = self.at(now);
         let since = self.noted_at.map_or(MEMORY, |noted| now.since(noted));
         // What has waited for long tells of all that time.
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -14,9 +14,9 @@
 mod share;
 
 pub use connection_budget::{ConnectionBudget, ConnectionLimits, ConnectionPermit};
-pub use lateness::Lateness;
-pub use load_report::{BadLoadReport, LoadReport};
+pub use lateness::SchedulingDelay;
+pub use load_report::{LoadReport, LoadReportError};
 pub use probe_budget::{MeasuredTarget, ProbeBudget};
-pub use probe_plan::{ProbeEnd, ProbePermit, ProbePlan};
+pub use probe_plan::{ProbeOutcome, ProbePermit, ProbeScheduler};
 pub use rate_limits::{RateLimitReport, RateLimits};
-pub use share::{BadShare, FleetShare};
+pub use share::{FleetShare, FleetShareError};
--- a/crates/measure/src/load_report.rs
+++ b/crates/measure/src/load_report.rs
@@ -36,29 +36,29 @@
 
 /// When a header is not a load report; it is then ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BadLoadReport {
+pub enum LoadReportError {
     /// Longer than 4096 bytes.
     TooLong,
     /// Neither the text form nor the JSON form.
-    UnknownForm,
+    UnknownFormat,
     /// The JSON form does not parse.
-    BadJson,
+    InvalidJson,
     /// A pair of the text form has no `=` or no number.
-    BadPair,
+    InvalidPair,
 }
 
-impl fmt::Display for BadLoadReport {
+impl fmt::Display for LoadReportError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::TooLong => "load report over 4096 bytes",
-            Self::UnknownForm => "load report is neither TEXT nor JSON",
-            Self::BadJson => "load report is not valid JSON",
-            Self::BadPair => "load report has a part that is not name=number",
+            Self::UnknownFormat => "load report is neither TEXT nor JSON",
+            Self::InvalidJson => "load report is not valid JSON",
+            Self::InvalidPair => "load report has a part that is not name=number",
         })
     }
 }
 
-impl Error for BadLoadReport {}
+impl Error for LoadReportError {}
 
 #[derive(Debug, Default, Deserialize)]
 struct Orca {
@@ -76,15 +76,15 @@
     /// # Errors
     /// When the value is too long or has neither form. Unknown names are ignored; negative
     /// numbers, infinities and NaN count as missing.
-    pub fn from_header(text: &str) -> Result<Self, BadLoadReport> {
+    pub fn from_header(text: &str) -> Result<Self, LoadReportError> {
         if text.len() > MAX_HEADER_BYTES {
-            return Err(BadLoadReport::TooLong);
+            return Err(LoadReportError::TooLong);
         }
         if let Some(pairs) = text.strip_prefix(TEXT_PREFIX) {
             return parse_pairs(pairs).map(Self::from);
         }
-        let json = text.strip_prefix(JSON_PREFIX).ok_or(BadLoadReport::UnknownForm)?;
-        let orca: Orca = serde_json::from_str(json).map_err(|_| BadLoadReport::BadJson)?;
+        let json = text.strip_prefix(JSON_PREFIX).ok_or(LoadReportError::UnknownFormat)?;
+        let orca: Orca = serde_json::from_str(json).map_err(|_| LoadReportError::InvalidJson)?;
         Ok(Self::from(orca))
     }
 }
@@ -99,11 +99,11 @@
     }
 }
 
-fn parse_pairs(pairs: &str) -> Result<Orca, BadLoadReport> {
+fn parse_pairs(pairs: &str) -> Result<Orca, LoadReportError> {
     let mut orca = Orca::default();
     for pair in pairs.split(',') {
-        let (name, number) = pair.split_once('=').ok_or(BadLoadReport::BadPair)?;
-        let number: f64 = number.trim().parse().map_err(|_| BadLoadReport::BadPair)?;
+        let (name, number) = pair.split_once('=').ok_or(LoadReportError::InvalidPair)?;
+        let number: f64 = number.trim().parse().map_err(|_| LoadReportError::InvalidPair)?;
         set(&mut orca, name.trim(), number);
     }
     Ok(orca)
--- a/crates/measure/src/probe_plan.rs
+++ b/crates/measure/src/probe_plan.rs
@@ -10,7 +10,7 @@
 /// The second that the budget is counted over, and a margin for clocks of different speeds.
 pub(crate) const WINDOW: Duration = Duration::from_millis(1050);
 
-/// Leave to send one probe now; give it back with `ProbePlan::finished`.
+/// Leave to send one probe now; give it back with `ProbeScheduler::release`.
 ///
 /// While it is out, the target gets no other probe from this process. A permit that is dropped
 /// ends probing of its target, so a lost task can't break the budget.
@@ -28,7 +28,7 @@
 
 /// How a probe ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ProbeEnd {
+pub enum ProbeOutcome {
     /// An answer came, or no connection could be made: the target has no work left from it.
     Settled,
     /// It was given up; the target may still have it before it.
@@ -55,23 +55,23 @@
 ///   partition nor a lagging VM list changes the sum.
 /// - A process that starts waits one whole spacing first: the process that it replaces may have
 ///   probed just before it died.
-/// - A process may be paused between `take` and the first byte, so the spacing to the next probe
+/// - A process may be paused between `try_acquire` and the first byte, so the spacing to the next probe
 ///   counts from the end of the probe, when the target has surely received it. Probes missed
 ///   while paused are not caught up.
 /// - A target may be paused and later find all probes of that time in its buffers. So one that
-///   left a probe unanswered gets no other until it answers something (`heard`). A new process
+///   left a probe unanswered gets no other until it answers something (`record_answer`). A new process
 ///   can't know what its predecessor left unanswered, so it too waits until it has heard.
 ///
 /// Two live processes with the same share break the budget; settings must prevent that.
 #[derive(Debug)]
-pub struct ProbePlan {
+pub struct ProbeScheduler {
     budget: ProbeBudget,
     share: FleetShare,
     fresh_for: Duration,
     targets: BTreeMap<TargetId, Planned>,
 }
 
-impl ProbePlan {
+impl ProbeScheduler {
     /// A plan without targets. A target is not probed while its last report is younger than
     /// `fresh_for`.
     pub fn new(budget: ProbeBudget, share: FleetShare, fresh_for: Duration) -> Self {
@@ -115,7 +115,7 @@
 
     /// Notes that the target answered a request at that time; with a load report, no probe is
     /// needed soon.
-    pub fn heard(&mut self, target: &TargetId, with_report: bool, at: Mono) {
+    pub fn record_answer(&mut self, target: &TargetId, with_report: bool, at: Mono) {
         let Some(planned) = self.targets.get_mut(target) else { return };
         if planned.silent_since.is_some_and(|since| at > since) {
             planned.silent_since = None;
@@ -142,7 +142,7 @@
     ///
     /// Call it right before sending: the process may have been paused since `due`, and another
     /// task may have sent a probe meanwhile.
-    pub fn take(&mut self, target: &TargetId, now: Mono) -> Option<ProbePermit> {
+    pub fn try_acquire(&mut self, target: &TargetId, now: Mono) -> Option<ProbePermit> {
         let planned = self.targets.get(target)?;
         if !self.is_due(planned, now) {
             return None;
@@ -152,10 +152,10 @@
     }
 
     /// Notes that a probe ended; one given up must have its connection closed.
-    pub fn finished(&mut self, permit: ProbePermit, end: ProbeEnd, now: Mono) {
+    pub fn release(&mut self, permit: ProbePermit, end: ProbeOutcome, now: Mono) {
         if let Some(planned) = self.targets.get_mut(&permit.target) {
             planned.outstanding = false;
-            planned.silent_since = (end == ProbeEnd::Unanswered).then_some(now);
+            planned.silent_since = (end == ProbeOutcome::Unanswered).then_some(now);
             planned.next = now.plus(planned.spacing);
         }
     }
--- a/crates/measure/src/share.rs
+++ b/crates/measure/src/share.rs
@@ -18,9 +18,9 @@
     ///
     /// # Errors
     /// When `index` is not below `count`.
-    pub fn new(index: u32, count: u32) -> Result<Self, BadShare> {
+    pub fn new(index: u32, count: u32) -> Result<Self, FleetShareError> {
         if index >= count {
-            return Err(BadShare { index, count });
+            return Err(FleetShareError { index, count });
         }
         Ok(Self { index, count })
     }
@@ -38,15 +38,15 @@
 
 /// When a share's index is not below the number of shares.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BadShare {
+pub struct FleetShareError {
     index: u32,
     count: u32,
 }
 
-impl fmt::Display for BadShare {
+impl fmt::Display for FleetShareError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "share {} is not below the number of shares, {}", self.index, self.count)
     }
 }
 
-impl Error for BadShare {}
+impl Error for FleetShareError {}
--- a/crates/measure/tests/budget.rs
+++ b/crates/measure/tests/budget.rs
@@ -7,7 +7,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use shallotfork_measure::{
     ConnectionBudget, ConnectionLimits, ConnectionPermit, FleetShare, MeasuredTarget, ProbeBudget,
-    ProbeEnd, ProbePermit, ProbePlan,
+    ProbeOutcome, ProbePermit, ProbeScheduler,
 };
 use shallotfork_types::{Mono, PerSecond, Permille, TargetId};
 
@@ -100,7 +100,7 @@
     fn answered(&mut self, target: &TargetId, with_report: bool, now: Mono);
 }
 
-impl Spender for ProbePlan {
+impl Spender for ProbeScheduler {
     type Permit = ProbePermit;
 
     fn start(fleet: &Fleet, share: FleetShare, now: Mono) -> Self {
@@ -117,16 +117,16 @@
     }
 
     fn take(&mut self, target: &TargetId, now: Mono) -> Option<ProbePermit> {
-        self.take(target, now)
+        self.try_acquire(target, now)
     }
 
     fn finished(&mut self, permit: ProbePermit, answered: bool, now: Mono) {
-        let end = if answered { ProbeEnd::Settled } else { ProbeEnd::Unanswered };
-        self.finished(permit, end, now);
+        let end = if answered { ProbeOutcome::Settled } else { ProbeOutcome::Unanswered };
+        self.release(permit, end, now);
     }
 
     fn answered(&mut self, target: &TargetId, with_report: bool, now: Mono) {
-        self.heard(target, with_report, now);
+        self.record_answer(target, with_report, now);
     }
 }
 
@@ -145,11 +145,11 @@
     }
 
     fn take(&mut self, target: &TargetId, now: Mono) -> Option<ConnectionPermit> {
-        self.take(target, now).ok()
+        self.try_acquire(target, now).ok()
     }
 
     fn finished(&mut self, permit: ConnectionPermit, _answered: bool, now: Mono) {
-        self.finished(permit, now);
+        self.release(permit, now);
     }
 
     fn answered(&mut self, _target: &TargetId, _with_report: bool, _now: Mono) {}
@@ -261,7 +261,7 @@
 fn probes_keep_the_budget_in_every_second() {
     fn property(fleet: Fleet, events: Vec<Event>) -> bool {
         let one_probe_fits = budget_us(&fleet) >= fleet.cost_us;
-        let most = most_in_a_second(&play::<ProbePlan>(&fleet, &events));
+        let most = most_in_a_second(&play::<ProbeScheduler>(&fleet, &events));
         if one_probe_fits { most * fleet.cost_us <= budget_us(&fleet) } else { most <= 1 }
     }
     checker().quickcheck(property as fn(Fleet, Vec<Event>) -> bool);
@@ -290,7 +290,7 @@
     let passes = std::iter::repeat_n(Event::Pass { wait_ms: 10 }, 1000);
     let first = [Event::Pass { wait_ms: 1 }];
     let events: Vec<Event> = first.into_iter().chain(answers).chain(passes).collect();
-    let sent = play::<ProbePlan>(&fleet, &events);
+    let sent = play::<ProbeScheduler>(&fleet, &events);
     assert_eq!(3, most_in_a_second(&sent));
     assert_eq!(27, sent.len(), "three shares, each nine times in ten seconds");
 }
@@ -298,11 +298,11 @@
 #[test]
 fn a_target_that_reports_with_its_answers_is_not_probed() {
     let share = FleetShare::new(0, 1).expect("an index below the count");
-    let mut plan = ProbePlan::new(ProbeBudget::default(), share, FRESH_FOR);
+    let mut plan = ProbeScheduler::new(ProbeBudget::default(), share, FRESH_FOR);
     let mill = target(2);
     plan.set_targets(std::slice::from_ref(&mill), Mono::ZERO);
     let later = Mono::from_millis(10_000);
-    plan.heard(&mill.id, true, later);
+    plan.record_answer(&mill.id, true, later);
     assert!(plan.due(later).is_empty());
     assert_eq!(Some(later.plus(FRESH_FOR)), plan.next_due());
     assert_eq!(vec![mill.id], plan.due(later.plus(FRESH_FOR)));
--- a/crates/measure/tests/load_report.rs
+++ b/crates/measure/tests/load_report.rs
@@ -1,7 +1,7 @@
 //! Load reports are read in both forms, and hostile ones do no harm.
 
 use quickcheck::{Gen, QuickCheck};
-use shallotfork_measure::{BadLoadReport, LoadReport};
+use shallotfork_measure::{LoadReport, LoadReportError};
 use shallotfork_types::Permille;
 
 const SEED: u64 = 0x10ad;
@@ -51,10 +51,10 @@
 #[test]
 fn other_text_is_refused() {
     let long = format!("TEXT {}", "a=1,".repeat(2000));
-    assert_eq!(Err(BadLoadReport::TooLong), LoadReport::from_header(&long));
-    assert_eq!(Err(BadLoadReport::UnknownForm), LoadReport::from_header("BIN AAAA"));
-    assert_eq!(Err(BadLoadReport::BadJson), LoadReport::from_header("JSON {\"cpu"));
-    assert_eq!(Err(BadLoadReport::BadPair), LoadReport::from_header("TEXT cpu"));
+    assert_eq!(Err(LoadReportError::TooLong), LoadReport::from_header(&long));
+    assert_eq!(Err(LoadReportError::UnknownFormat), LoadReport::from_header("BIN AAAA"));
+    assert_eq!(Err(LoadReportError::InvalidJson), LoadReport::from_header("JSON {\"cpu"));
+    assert_eq!(Err(LoadReportError::InvalidPair), LoadReport::from_header("TEXT cpu"));
 }
 
 #[test]
--- a/crates/roster/src/entry.rs
+++ b/crates/roster/src/entry.rs
@@ -25,7 +25,7 @@
 
 /// What a target says of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TargetEntry {
+pub struct TargetRecord {
     /// The service that it belongs to.
     pub service: ServiceName,
     /// Where it is reached.
@@ -45,9 +45,9 @@
 
 /// What became of one published entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Known {
+pub enum PublishedState {
     /// It names a target.
-    Target(TargetEntry),
+    Target(TargetRecord),
     /// It cannot be read as a target, so that it names none.
     Unreadable,
     /// It is no longer published.
@@ -56,11 +56,11 @@
 
 /// One entry at one revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Change {
+pub struct TargetChange {
     /// The target.
     pub id: TargetId,
     /// Revision of the entry's last change.
     pub revision: Revision,
     /// Its content.
-    pub known: Known,
+    pub published: PublishedState,
 }
--- a/crates/roster/src/lib.rs
+++ b/crates/roster/src/lib.rs
@@ -8,6 +8,6 @@
 mod roster;
 mod roster_config;
 
-pub use entry::{Availability, Change, Known, TargetEntry};
+pub use entry::{Availability, PublishedState, TargetChange, TargetRecord};
 pub use roster::{Roster, RosterChange};
 pub use roster_config::RosterConfig;
--- a/crates/roster/src/roster.rs
+++ b/crates/roster/src/roster.rs
@@ -4,7 +4,7 @@
 
 use shallotfork_types::{Endpoint, Mono, Revision, TargetId};
 
-use crate::entry::{Availability, Change, Known, TargetEntry};
+use crate::entry::{Availability, PublishedState, TargetChange, TargetRecord};
 use crate::roster_config::RosterConfig;
 
 /// A change of what is believed of one target.
@@ -28,7 +28,7 @@
 struct Member {
     revision: Revision,
     /// `None` once the entry is gone or unreadable; the revision still guards against older news.
-    entry: Option<TargetEntry>,
+    entry: Option<TargetRecord>,
     /// Set while the entry is missing and excused.
     lapsed: bool,
     /// When the entry was heard of last; an ended one is forgotten some time after.
@@ -63,12 +63,12 @@
     }
 
     /// The platform does not answer.
-    pub fn platform_lost(&mut self) {
+    pub fn platform_disconnected(&mut self) {
         self.platform_away = true;
     }
 
     /// The platform answers again.
-    pub fn platform_back(&mut self, now: Mono) {
+    pub fn platform_reconnected(&mut self, now: Mono) {
         self.platform_away = false;
         self.returned_at = Some(now);
     }
@@ -79,7 +79,7 @@
     }
 
     /// Takes changes in the order in which they were published.
-    pub fn apply(&mut self, changes: Vec<Change>, now: Mono) -> Vec<RosterChange> {
+    pub fn apply(&mut self, changes: Vec<TargetChange>, now: Mono) -> Vec<RosterChange> {
         changes.into_iter().filter_map(|change| self.apply_one(change, now)).collect()
     }
 
@@ -89,7 +89,7 @@
     /// written later is not taken for a missing one.
     pub fn replace(
         &mut self,
-        entries: Vec<Change>,
+        entries: Vec<TargetChange>,
         revision: Revision,
         now: Mono,
     ) -> Vec<RosterChange> {
@@ -100,7 +100,12 @@
         });
         let missing: Vec<TargetId> = missing.map(|(id, _)| id.clone()).collect();
         for id in missing {
-            changes.extend(self.apply_one(Change { id, revision, known: Known::Removed }, now));
+            changes.extend(
+                self.apply_one(
+                    TargetChange { id, revision, published: PublishedState::Removed },
+                    now,
+                ),
+            );
         }
         changes
     }
@@ -120,7 +125,7 @@
             }
         }
         self.version += u64::from(!left.is_empty());
-        let remember = self.config.remember_ended;
+        let remember = self.config.ended_retained_for;
         self.members.retain(|_, m| m.entry.is_some() || now.since(m.heard_at) < remember);
         left
     }
@@ -129,7 +134,7 @@
     ///
     /// An address is given to another target once its holder has ended, also when the holder's
     /// entry has not been removed yet; then only the one published last is named.
-    pub fn targets(&self) -> Vec<(&TargetId, &TargetEntry)> {
+    pub fn targets(&self) -> Vec<(&TargetId, &TargetRecord)> {
         let mut holders: BTreeMap<Endpoint, (Revision, &TargetId)> = BTreeMap::new();
         for (id, member) in &self.members {
             let Some(entry) = &member.entry else { continue };
@@ -146,19 +151,20 @@
     }
 
     fn is_unsteady(&self, now: Mono) -> bool {
-        let returning = self.returned_at.is_some_and(|at| now.since(at) < self.config.return_wait);
+        let returning =
+            self.returned_at.is_some_and(|at| now.since(at) < self.config.reconnect_grace);
         self.platform_away || returning
     }
 
-    fn apply_one(&mut self, change: Change, now: Mono) -> Option<RosterChange> {
-        let Change { id, revision, known } = change;
+    fn apply_one(&mut self, change: TargetChange, now: Mono) -> Option<RosterChange> {
+        let TargetChange { id, revision, published } = change;
         if self.members.get(&id).is_some_and(|member| revision < member.revision) {
             return None;
         }
-        match known {
-            Known::Target(entry) => self.present(id, revision, entry, now),
-            Known::Unreadable => self.end(id, revision, now),
-            Known::Removed => self.missing(id, revision, now),
+        match published {
+            PublishedState::Target(entry) => self.present(id, revision, entry, now),
+            PublishedState::Unreadable => self.end(id, revision, now),
+            PublishedState::Removed => self.missing(id, revision, now),
         }
     }
 
@@ -166,7 +172,7 @@
         &mut self,
         id: TargetId,
         revision: Revision,
-        entry: TargetEntry,
+        entry: TargetRecord,
         now: Mono,
     ) -> Option<RosterChange> {
         let fresh = Member { revision, entry: Some(entry), lapsed: false, heard_at: now };
@@ -226,7 +232,7 @@
 }
 
 /// Whether two entries under one id describe two runs of the target.
-fn is_other_run(old: &TargetEntry, new: &TargetEntry) -> bool {
+fn is_other_run(old: &TargetRecord, new: &TargetRecord) -> bool {
     let started = match (old.started_at_ms, new.started_at_ms) {
         (Some(old), Some(new)) => old != new,
         _ => false,
--- a/crates/roster/src/roster_config.rs
+++ b/crates/roster/src/roster_config.rs
@@ -14,13 +14,13 @@
 pub struct RosterConfig {
     /// Time after the platform's return within which an entry that is missing is taken to have
     /// lapsed, not to have left; default 2.2 s.
-    pub return_wait: Duration,
+    pub reconnect_grace: Duration,
     /// How long the revision of an ended entry guards against older news of it; default 60 s.
-    pub remember_ended: Duration,
+    pub ended_retained_for: Duration,
 }
 
 impl Default for RosterConfig {
     fn default() -> Self {
-        Self { return_wait: RETURN_WAIT, remember_ended: REMEMBER_ENDED }
+        Self { reconnect_grace: RETURN_WAIT, ended_retained_for: REMEMBER_ENDED }
     }
 }
--- a/crates/roster/tests/roster.rs
+++ b/crates/roster/tests/roster.rs
@@ -6,7 +6,7 @@
 
 use quickcheck::QuickCheck;
 use shallotfork_roster::{
-    Availability, Change, Known, Roster, RosterChange, RosterConfig, TargetEntry,
+    Availability, PublishedState, Roster, RosterChange, RosterConfig, TargetChange, TargetRecord,
 };
 use shallotfork_types::{FailureDomain, Mono, Revision, ServiceName, TargetId};
 
@@ -14,8 +14,8 @@
     TargetId::new(name).unwrap()
 }
 
-fn entry(port: u16) -> TargetEntry {
-    TargetEntry {
+fn entry(port: u16) -> TargetRecord {
+    TargetRecord {
         service: ServiceName::new("recipes").unwrap(),
         endpoint: format!("10.0.0.1:{port}").parse().unwrap(),
         failure_domain: FailureDomain::new("hall").unwrap(),
@@ -26,17 +26,17 @@
     }
 }
 
-fn change(name: &str, revision: u64, known: Known) -> Change {
-    Change { id: id(name), revision: Revision::new(revision), known }
+fn change(name: &str, revision: u64, published: PublishedState) -> TargetChange {
+    TargetChange { id: id(name), revision: Revision::new(revision), published }
 }
 
-fn present(name: &str, revision: u64, port: u16) -> Change {
-    change(name, revision, Known::Target(entry(port)))
+fn present(name: &str, revision: u64, port: u16) -> TargetChange {
+    change(name, revision, PublishedState::Target(entry(port)))
 }
 
-fn draining(name: &str, revision: u64, port: u16) -> Change {
-    let entry = TargetEntry { availability: Availability::Draining, ..entry(port) };
-    change(name, revision, Known::Target(entry))
+fn draining(name: &str, revision: u64, port: u16) -> TargetChange {
+    let entry = TargetRecord { availability: Availability::Draining, ..entry(port) };
+    change(name, revision, PublishedState::Target(entry))
 }
 
 fn names(roster: &Roster) -> Vec<&str> {
@@ -57,7 +57,7 @@
 #[test]
 fn a_removed_target_is_gone_at_once_while_the_platform_is_steady() {
     let mut roster = with_two();
-    let left = roster.apply(vec![change("a", 3, Known::Removed)], at(100));
+    let left = roster.apply(vec![change("a", 3, PublishedState::Removed)], at(100));
     assert_eq!(left, [RosterChange::Left(id("a"))]);
     assert_eq!(names(&roster), ["b"]);
 }
@@ -67,9 +67,10 @@
 #[test]
 fn targets_whose_entries_lapsed_are_kept_until_they_had_time_to_return() {
     let mut roster = with_two();
-    roster.platform_lost();
-    roster.platform_back(at(5000));
-    let removed = vec![change("a", 3, Known::Removed), change("b", 4, Known::Removed)];
+    roster.platform_disconnected();
+    roster.platform_reconnected(at(5000));
+    let removed =
+        vec![change("a", 3, PublishedState::Removed), change("b", 4, PublishedState::Removed)];
     let lapsed = roster.apply(removed, at(5010));
     assert_eq!(lapsed, [RosterChange::Lapsed(id("a")), RosterChange::Lapsed(id("b"))]);
     assert_eq!(names(&roster), ["a", "b"]);
@@ -85,9 +86,9 @@
 fn a_draining_target_is_never_excused() {
     let mut roster = with_two();
     assert_eq!(roster.apply(vec![draining("a", 3, 1)], at(10)), [RosterChange::Draining(id("a"))]);
-    roster.platform_lost();
-    roster.platform_back(at(5000));
-    let left = roster.apply(vec![change("a", 4, Known::Removed)], at(5010));
+    roster.platform_disconnected();
+    roster.platform_reconnected(at(5000));
+    let left = roster.apply(vec![change("a", 4, PublishedState::Removed)], at(5010));
     assert_eq!(left, [RosterChange::Left(id("a"))]);
 }
 
@@ -95,7 +96,7 @@
 #[test]
 fn a_stale_read_brings_nothing_back() {
     let mut roster = with_two();
-    roster.apply(vec![change("a", 9, Known::Removed)], at(10));
+    roster.apply(vec![change("a", 9, PublishedState::Removed)], at(10));
     let changes =
         roster.replace(vec![present("a", 1, 1), present("b", 2, 2)], Revision::new(5), at(20));
     assert_eq!(changes, []);
@@ -114,7 +115,7 @@
 #[test]
 fn an_unreadable_entry_ends_its_target_and_no_other() {
     let mut roster = with_two();
-    let left = roster.apply(vec![change("a", 3, Known::Unreadable)], at(10));
+    let left = roster.apply(vec![change("a", 3, PublishedState::Unreadable)], at(10));
     assert_eq!(left, [RosterChange::Left(id("a"))]);
     assert_eq!(names(&roster), ["b"]);
 }
@@ -124,8 +125,8 @@
 #[test]
 fn a_later_start_under_one_id_is_another_run() {
     let mut roster = with_two();
-    let again = TargetEntry { started_at_ms: Some(2000), ..entry(1) };
-    let changes = roster.apply(vec![change("a", 3, Known::Target(again))], at(10));
+    let again = TargetRecord { started_at_ms: Some(2000), ..entry(1) };
+    let changes = roster.apply(vec![change("a", 3, PublishedState::Target(again))], at(10));
     assert_eq!(changes, [RosterChange::Restarted(id("a"))]);
 }
 
@@ -144,7 +145,7 @@
     fn property(mut order: Vec<(u8, bool)>) -> bool {
         let of = |(revision, present_then): &(u8, bool)| match present_then {
             true => present("a", u64::from(*revision), 1),
-            false => change("a", u64::from(*revision), Known::Removed),
+            false => change("a", u64::from(*revision), PublishedState::Removed),
         };
         order.sort_unstable();
         order.dedup_by_key(|(revision, _)| *revision);
--- a/crates/routes/src/in_force.rs
+++ b/crates/routes/src/in_force.rs
@@ -6,11 +6,11 @@
 
 /// What became of an offered table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offer {
+pub enum OfferOutcome {
     /// It is in force now.
     Accepted,
     /// It is in force already.
-    Known,
+    AlreadyInForce,
     /// A later one is in force.
     Older {
         /// The version in force.
@@ -24,31 +24,31 @@
 /// old, and peers. Without the guard a stale read would undo a change that callers have seen the
 /// effect of.
 #[derive(Debug, Clone, Default)]
-pub struct InForce {
+pub struct TableInForce {
     table: Option<Arc<RouteTable>>,
 }
 
-impl InForce {
+impl TableInForce {
     /// Before any table is known.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Takes a table unless it is older than the one in force.
-    pub fn offer(&mut self, table: RouteTable) -> Offer {
+    pub fn offer(&mut self, table: RouteTable) -> OfferOutcome {
         let Some(known) = &self.table else {
             self.table = Some(Arc::new(table));
-            return Offer::Accepted;
+            return OfferOutcome::Accepted;
         };
         let in_force = known.version();
         if table.version() < in_force {
-            return Offer::Older { in_force };
+            return OfferOutcome::Older { in_force };
         }
         if table.version() == in_force {
-            return Offer::Known;
+            return OfferOutcome::AlreadyInForce;
         }
         self.table = Some(Arc::new(table));
-        Offer::Accepted
+        OfferOutcome::Accepted
     }
 
     /// The table in force; `None` before the first.
--- a/crates/routes/src/route.rs
+++ b/crates/routes/src/route.rs
@@ -44,7 +44,7 @@
 
 /// Whether a request may run a second time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RepeatPolicy {
     /// Running it again does no harm.
     Idempotent,
     /// It runs at most once for each attempt of its caller.
@@ -53,9 +53,9 @@
 
 /// How urgent the requests of a route are; 0 is the most urgent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Urgency(u32);
+pub struct Priority(u32);
 
-impl Urgency {
+impl Priority {
     /// Wraps a published rank.
     pub fn new(rank: u32) -> Self {
         Self(rank)
@@ -67,7 +67,7 @@
     }
 }
 
-impl fmt::Display for Urgency {
+impl fmt::Display for Priority {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0)
     }
@@ -92,13 +92,13 @@
     /// Beginning of the path; starts and ends with a slash.
     pub prefix: String,
     /// Whether a request may run twice.
-    pub repeat: Repeat,
+    pub repeat_policy: RepeatPolicy,
     /// Longest time from a request's arrival to its final answer.
     pub timeout: Duration,
     /// Time within which an answer is worth most to its caller.
     pub latency_objective: Duration,
     /// Rank among requests that compete for the same targets.
-    pub urgency: Urgency,
+    pub priority: Priority,
     /// Targets that one request may be sent to at most.
     pub attempts_max: u32,
     /// Where its requests go; never empty.
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -70,13 +70,13 @@
 pub enum TableError {
     /// Two routes have one name.
     #[error("route {0} occurs twice")]
-    RepeatedName(RouteName),
+    DuplicateName(RouteName),
     /// Two routes have one host and prefix, so that neither could be chosen over the other.
     #[error("routes {0} and {1} cover the same requests")]
-    SameMatch(RouteName, RouteName),
+    DuplicateMatch(RouteName, RouteName),
     /// A prefix does not start and end with a slash.
     #[error("route {0}: the prefix does not start and end with a slash")]
-    BadPrefix(RouteName),
+    InvalidPrefix(RouteName),
     /// A route names a service that the table does not have.
     #[error("route {0}: unknown service {1}")]
     UnknownService(RouteName, ServiceName),
@@ -88,7 +88,7 @@
     NoAttempts(RouteName),
     /// The timeout is zero, so that no request could be answered.
     #[error("route {0}: the timeout is zero")]
-    NoTimeout(RouteName),
+    ZeroTimeout(RouteName),
 }
 
 /// Routes and services in force together. Built only by [`RouteTable::new`], so that each one is
@@ -170,10 +170,10 @@
     let unknown = route.services.iter().filter(|part| !services.contains_key(&part.service));
     let mut errors: Vec<TableError> =
         unknown.map(|part| TableError::UnknownService(name(), part.service.clone())).collect();
-    errors.extend((!slashes).then(|| TableError::BadPrefix(name())));
+    errors.extend((!slashes).then(|| TableError::InvalidPrefix(name())));
     errors.extend((weight == 0).then(|| TableError::NoService(name())));
     errors.extend((route.attempts_max == 0).then(|| TableError::NoAttempts(name())));
-    errors.extend(route.timeout.is_zero().then(|| TableError::NoTimeout(name())));
+    errors.extend(route.timeout.is_zero().then(|| TableError::ZeroTimeout(name())));
     errors.into_iter()
 }
 
@@ -183,10 +183,10 @@
     let mut errors = Vec::new();
     for route in routes {
         if !names.insert(&route.name) {
-            errors.push(TableError::RepeatedName(route.name.clone()));
+            errors.push(TableError::DuplicateName(route.name.clone()));
         }
         if let Some(other) = matches.insert((&route.host, &route.prefix), &route.name) {
-            errors.push(TableError::SameMatch(other.clone(), route.name.clone()));
+            errors.push(TableError::DuplicateMatch(other.clone(), route.name.clone()));
         }
     }
     errors
--- a/crates/routes/tests/routes.rs
+++ b/crates/routes/tests/routes.rs
@@ -8,8 +8,8 @@
 
 use quickcheck::{QuickCheck, TestResult};
 use shallotfork_routes::{
-    CallerLimits, InForce, Offer, Repeat, Route, RouteName, RouteTable, ServiceSpec, Splitter,
-    TableError, TableVersion, Urgency, WeightedService,
+    CallerLimits, OfferOutcome, Priority, RepeatPolicy, Route, RouteName, RouteTable, ServiceSpec,
+    Splitter, TableError, TableInForce, TableVersion, WeightedService,
 };
 use shallotfork_types::{Bytes, ServiceName};
 
@@ -24,10 +24,10 @@
         name: RouteName::new(name).unwrap(),
         host: "shop.example".to_owned(),
         prefix: prefix.to_owned(),
-        repeat: Repeat::Idempotent,
+        repeat_policy: RepeatPolicy::Idempotent,
         timeout: Duration::from_secs(2),
         latency_objective: Duration::from_millis(400),
-        urgency: Urgency::new(1),
+        priority: Priority::new(1),
         attempts_max: 2,
         services: parts.iter().map(part).collect(),
     }
@@ -97,12 +97,12 @@
 /// old table again; without the guard, requests would go to the old service once more.
 #[test]
 fn an_older_table_never_comes_back() {
-    let mut in_force = InForce::new();
+    let mut in_force = TableInForce::new();
     let of = |version| table(version, vec![route("r", "/", &[("a", 1)])]).unwrap();
-    assert_eq!(in_force.offer(of(5)), Offer::Accepted);
-    assert_eq!(in_force.offer(of(9)), Offer::Accepted);
-    assert_eq!(in_force.offer(of(5)), Offer::Older { in_force: TableVersion::new(9) });
-    assert_eq!(in_force.offer(of(9)), Offer::Known);
+    assert_eq!(in_force.offer(of(5)), OfferOutcome::Accepted);
+    assert_eq!(in_force.offer(of(9)), OfferOutcome::Accepted);
+    assert_eq!(in_force.offer(of(5)), OfferOutcome::Older { in_force: TableVersion::new(9) });
+    assert_eq!(in_force.offer(of(9)), OfferOutcome::AlreadyInForce);
     assert_eq!(in_force.table().map(|table| table.version()), Some(TableVersion::new(9)));
 }
 
--- a/crates/shallotd/src/control/members.rs
+++ b/crates/shallotd/src/control/members.rs
@@ -29,7 +29,7 @@
     let schedule = Schedule::new(period).with_jitter(period / 10);
     let mut subscription = timer.subscribe(schedule);
     while let Some(tick) = subscription.tick().await {
-        if tick.late > period * PAUSED_HEARTBEATS {
+        if tick.delay > period * PAUSED_HEARTBEATS {
             state.view.borrow_mut().resumed(tick.now);
         }
         let chosen = chosen(&state);
--- a/crates/shallotd/src/control/probes.rs
+++ b/crates/shallotd/src/control/probes.rs
@@ -10,7 +10,7 @@
     Attempt, AttemptFailure, ControlHeaders, TargetAddress, WholeAnswer, WholeRequest,
 };
 use shallotfork_measure::{
-    FleetShare, MeasuredTarget, ProbeBudget, ProbeEnd, ProbePermit, ProbePlan,
+    FleetShare, MeasuredTarget, ProbeBudget, ProbeOutcome, ProbePermit, ProbeScheduler,
 };
 use shallotfork_platform::TargetInfo;
 use shallotfork_timer::{Schedule, TimerService};
@@ -30,13 +30,13 @@
 const TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The plan of a process that just started.
-pub fn probe_plan(context: &Context) -> ProbePlan {
+pub fn probe_plan(context: &Context) -> ProbeScheduler {
     let settings = &context.settings;
     let share = FleetShare::new(settings.vm.probe_share, settings.vm.probe_shares)
         .expect("settings were checked: the share is below the number of shares");
     let measure = &settings.measure;
     let budget = ProbeBudget { share: measure.probe_budget, probe_cost: measure.probe_cost };
-    ProbePlan::new(budget, share, FRESH_FOR)
+    ProbeScheduler::new(budget, share, FRESH_FOR)
 }
 
 /// Probes for as long as the process runs.
@@ -77,13 +77,13 @@
 }
 
 /// Takes over what traffic has heard of the service's targets.
-fn learn(plan: &mut ProbePlan, service: &Service) {
+fn learn(plan: &mut ProbeScheduler, service: &Service) {
     for target in service.pool.status() {
         if let Some(at) = target.heard_at {
-            plan.heard(&target.id, false, at);
+            plan.record_answer(&target.id, false, at);
         }
         if let Some(at) = target.reported_at {
-            plan.heard(&target.id, true, at);
+            plan.record_answer(&target.id, true, at);
         }
     }
 }
@@ -93,7 +93,7 @@
     let Some(target) = service.targets.by_id.get(&id) else { return };
     let context = &state.context;
     let Some(attempt) = attempt(context, target) else { return };
-    let taken = state.probes.borrow_mut().take(&id, context.clock.now());
+    let taken = state.probes.borrow_mut().try_acquire(&id, context.clock.now());
     let Some(permit) = taken else { return };
     state.probes_sent.update(|sent| sent + 1);
     let result = context.exchange.send(attempt).await;
@@ -105,11 +105,11 @@
 
 fn finish(state: &State, permit: ProbePermit, result: &Result<WholeAnswer, AttemptFailure>) {
     let end = match result {
-        Ok(_) => ProbeEnd::Settled,
-        Err(failure) if failure.verdict() == Verdict::NotRun => ProbeEnd::Settled,
-        Err(_) => ProbeEnd::Unanswered,
+        Ok(_) => ProbeOutcome::Settled,
+        Err(failure) if failure.verdict() == Verdict::NotRun => ProbeOutcome::Settled,
+        Err(_) => ProbeOutcome::Unanswered,
     };
-    state.probes.borrow_mut().finished(permit, end, state.context.clock.now());
+    state.probes.borrow_mut().release(permit, end, state.context.clock.now());
 }
 
 fn attempt(
--- a/crates/shallotd/src/control/state.rs
+++ b/crates/shallotd/src/control/state.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use shallotfork_measure::ProbePlan;
+use shallotfork_measure::ProbeScheduler;
 use shallotfork_membership::View;
 use shallotfork_platform::Platform;
 use shallotfork_revisions::PullGate;
@@ -50,7 +50,7 @@
     /// Pools of the services with published targets.
     pub pools: RefCell<BTreeMap<ServiceName, Arc<ServicePool>>>,
     /// When this process may probe which target.
-    pub probes: RefCell<ProbePlan>,
+    pub probes: RefCell<ProbeScheduler>,
     /// The snapshot whose targets the plan knows.
     pub probed: RefCell<Arc<Snapshot>>,
     /// Probes sent so far.
--- a/crates/shallotd/src/traffic/connection_gate.rs
+++ b/crates/shallotd/src/traffic/connection_gate.rs
@@ -57,7 +57,7 @@
     fn drop(&mut self) {
         let now = self.inner.clock.now();
         if let Some(permit) = self.permit.take() {
-            self.inner.lock().budget.finished(permit, now);
+            self.inner.lock().budget.release(permit, now);
         }
         self.inner.ended.notify_waiters();
     }
@@ -111,7 +111,7 @@
         let id = self.lock().ids.get(&target).cloned()?;
         loop {
             let ended = self.ended.notified();
-            let taken = self.lock().budget.take(&id, self.clock.now());
+            let taken = self.lock().budget.try_acquire(&id, self.clock.now());
             match taken {
                 Ok(permit) => {
                     return Some(Opening { inner: Arc::clone(self), permit: Some(permit) });
--- a/crates/timer/src/service.rs
+++ b/crates/timer/src/service.rs
@@ -46,7 +46,7 @@
     /// When the service woke.
     pub now: Mono,
     /// How much later than planned; large after the process was paused.
-    pub late: Duration,
+    pub delay: Duration,
 }
 
 /// Receives the ticks of one schedule.
@@ -130,7 +130,7 @@
         }
         due.pop();
         let entry = &entries[index];
-        let tick = Tick { now, late: now.since(at) };
+        let tick = Tick { now, delay: now.since(at) };
         let closed =
             matches!(entry.ticks.try_send(tick), Err(mpsc::error::TrySendError::Closed(_)));
         if !closed {
