--- a/crates/fleet/src/active.rs
+++ b/crates/fleet/src/active.rs
@@ -22,7 +22,7 @@
 
 /// An entry that callers are sent to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ActiveEntry {
+pub struct AdvertisedEntry {
     /// Its name.
     pub vm: VmId,
     /// Where it stands.
@@ -30,7 +30,7 @@
     /// Where callers reach it.
     pub callers: Endpoint,
     /// Requests a second that it could carry.
-    pub strength: PerSecond,
+    pub capacity: PerSecond,
 }
 
 /// Which failure domains stand in which region.
@@ -43,23 +43,23 @@
 /// A caller chooses one of several addresses by chance, and another one at once when that one fails.
 /// With one address, of an entry that is killed, all callers of a failure domain wait until they may
 /// ask for a new one. A weak entry would get as many callers as a strong one, though.
-pub fn entries_for(
-    active: &[ActiveEntry],
+pub fn endpoints_for_caller(
+    active: &[AdvertisedEntry],
     regions: &Regions,
     domain: Option<&FailureDomain>,
 ) -> Vec<Endpoint> {
     let region = domain.and_then(|domain| regions.get(domain));
     let in_region =
-        |entry: &&ActiveEntry| region.is_some() && regions.get(&entry.failure_domain) == region;
-    let in_domain = |entry: &&ActiveEntry| domain == Some(&entry.failure_domain);
-    let addresses = |entries: &[&ActiveEntry]| {
+        |entry: &&AdvertisedEntry| region.is_some() && regions.get(&entry.failure_domain) == region;
+    let in_domain = |entry: &&AdvertisedEntry| domain == Some(&entry.failure_domain);
+    let addresses = |entries: &[&AdvertisedEntry]| {
         entries.iter().take(ACTIVE_MAX).map(|entry| entry.callers).collect()
     };
-    let of_region: Vec<&ActiveEntry> = active.iter().filter(in_region).collect();
+    let of_region: Vec<&AdvertisedEntry> = active.iter().filter(in_region).collect();
     if !of_region.is_empty() && are_alike(&of_region) {
         return addresses(&of_region);
     }
-    let of_domain: Vec<&ActiveEntry> = active.iter().filter(in_domain).collect();
+    let of_domain: Vec<&AdvertisedEntry> = active.iter().filter(in_domain).collect();
     if !of_domain.is_empty() {
         return addresses(&of_domain);
     }
@@ -67,8 +67,8 @@
 }
 
 /// Whether none of the entries is more than twice as strong as another.
-fn are_alike(entries: &[&ActiveEntry]) -> bool {
-    let strengths = || entries.iter().map(|entry| entry.strength.value());
+fn are_alike(entries: &[&AdvertisedEntry]) -> bool {
+    let strengths = || entries.iter().map(|entry| entry.capacity.value());
     strengths().max() <= strengths().min().map(|weakest| weakest.saturating_mul(ALIKE_FACTOR))
 }
 
@@ -89,7 +89,7 @@
 pub fn active_entries(targets: usize, order: &[Candidate]) -> Vec<Candidate> {
     let wanted = targets as u64 * REQUESTS_PER_TARGET;
     let least = least_strength(wanted, order);
-    let strong: Vec<&Candidate> = order.iter().filter(|entry| strength(entry) >= least).collect();
+    let strong: Vec<&Candidate> = order.iter().filter(|entry| capacity(entry) >= least).collect();
     let domains: BTreeSet<&FailureDomain> =
         strong.iter().map(|entry| &entry.failure_domain).collect();
     let part = wanted / domains.len().max(1) as u64;
@@ -110,14 +110,14 @@
     let counts = || 1..=order.len();
     let fewest = counts().find(|count| carried(*count, &order) >= wanted / ENOUGH_DIVISOR);
     let fewest = fewest.or_else(|| counts().max_by_key(|count| carried(*count, &order)));
-    fewest.map_or(0, |count| strength(order[count - 1]) / 2)
+    fewest.map_or(0, |count| capacity(order[count - 1]) / 2)
 }
 
 /// What the first entries carry together, when each gets as many requests as the weakest.
 pub(crate) fn carried(count: usize, order: &[&Candidate]) -> u64 {
-    count as u64 * strength(order[count - 1])
+    count as u64 * capacity(order[count - 1])
 }
 
-fn strength(entry: &Candidate) -> u64 {
-    entry.strength.value().into()
+fn capacity(entry: &Candidate) -> u64 {
+    entry.capacity.value().into()
 }
--- a/crates/fleet/src/beliefs.rs
+++ b/crates/fleet/src/beliefs.rs
@@ -7,12 +7,12 @@
 use shallotfork_membership::{Announcement, EntryState, EntryVm};
 use shallotfork_types::{Endpoint, ListsDigest, Mono, VmId, rendezvous_weight};
 
-use crate::active::{ActiveEntry, active_entries};
+use crate::active::{AdvertisedEntry, active_entries};
 use crate::contacts::{Contacts, Standing, contacts};
 use crate::heads::heads;
 use crate::helpers::with_helpers;
 use crate::order::{Candidate, fleet_order};
-use crate::pace::spread_time;
+use crate::pace::propagation_delay;
 use crate::readers::{choose_readers, may_have_to_read};
 
 /// What is known of the fleet at one moment.
@@ -41,7 +41,7 @@
 
 /// What this process believes of the fleet.
 #[derive(Debug)]
-pub struct Beliefs {
+pub struct FleetView {
     /// When an entry counts as started or as no longer behind although it has not said so; `None`
     /// while none is either.
     pub(crate) hold_until: Option<Mono>,
@@ -53,9 +53,9 @@
     /// callers are sent to, they may still be starting: somebody has to read first.
     pub readers: Vec<VmId>,
     /// Entries that callers are sent to, best first.
-    pub named: Vec<ActiveEntry>,
+    pub advertised: Vec<AdvertisedEntry>,
     /// Entries that the whole fleet knows.
-    pub heads: BTreeSet<VmId>,
+    pub core_entries: BTreeSet<VmId>,
     /// Differs between two entries that know other heads.
     pub digest: ListsDigest,
     /// Whom this entry exchanges heartbeats with.
@@ -64,7 +64,7 @@
     pub domain_entries: u32,
 }
 
-impl Beliefs {
+impl FleetView {
     pub(crate) fn new(known: Known<'_>) -> Self {
         let own = &known.own.listed.vm;
         let order = live_order(&known);
@@ -78,10 +78,10 @@
         let usual_names: BTreeSet<VmId> = usual.iter().map(|entry| entry.vm.clone()).collect();
         let own_behind = known.is_behind.then_some(own);
         let behind: BTreeSet<VmId> = known.behind.keys().chain(own_behind).cloned().collect();
-        let named = named(&entries, &with_helpers(&usual, &serving, &behind));
+        let advertised = named(&entries, &with_helpers(&usual, &serving, &behind));
         let names: Vec<VmId> = order.iter().map(|entry| entry.vm.clone()).collect();
         let readers = choose_readers(&names, &known.blind);
-        let heads = heads(&order, &usual_names);
+        let core_entries = heads(&order, &usual_names);
         let domain_entries = domain_entries(&known, &order);
         let contacts = contacts(&Standing {
             own: &candidate(known.own),
@@ -93,12 +93,12 @@
         });
         Self {
             hold_until: known.starting.into_values().chain(known.behind.into_values()).min(),
-            digest: digest(&heads),
-            heads: heads.into_iter().collect(),
+            digest: digest(&core_entries),
+            core_entries: core_entries.into_iter().collect(),
             entries,
             order,
             readers,
-            named,
+            advertised,
             contacts,
             domain_entries,
         }
@@ -115,8 +115,8 @@
     }
 
     /// How long a change takes from the first entries of this failure domain to all others there.
-    pub fn spread_time(&self) -> Duration {
-        spread_time(self.domain_entries as usize)
+    pub fn propagation_delay(&self) -> Duration {
+        propagation_delay(self.domain_entries as usize)
     }
 }
 
@@ -130,13 +130,13 @@
 }
 
 /// Where callers reach the chosen entries.
-fn named(entries: &BTreeMap<VmId, EntryVm>, chosen: &[Candidate]) -> Vec<ActiveEntry> {
+fn named(entries: &BTreeMap<VmId, EntryVm>, chosen: &[Candidate]) -> Vec<AdvertisedEntry> {
     let chosen = chosen.iter().filter_map(|entry| entries.get(&entry.vm));
-    let active = |entry: &EntryVm| ActiveEntry {
+    let active = |entry: &EntryVm| AdvertisedEntry {
         vm: entry.vm.clone(),
         failure_domain: entry.failure_domain.clone(),
         callers: entry.callers,
-        strength: entry.strength,
+        capacity: entry.capacity,
     };
     chosen.map(active).collect()
 }
@@ -158,5 +158,5 @@
 
 fn candidate(own: &Announcement) -> Candidate {
     let listed = own.listed.clone();
-    Candidate { vm: listed.vm, failure_domain: listed.failure_domain, strength: listed.strength }
+    Candidate { vm: listed.vm, failure_domain: listed.failure_domain, capacity: listed.capacity }
 }
--- a/crates/fleet/src/contacts.rs
+++ b/crates/fleet/src/contacts.rs
@@ -45,7 +45,7 @@
     /// Whether others hear of changes from this entry, so that it passes on what it hears.
     pub relays: bool,
     /// Whether it hears the readers themselves, and not only through others.
-    pub hears_readers: bool,
+    pub monitors_readers: bool,
 }
 
 /// Whom to exchange heartbeats with.
@@ -79,7 +79,7 @@
         in_turn: if is_busy && !spans { far } else { Vec::new() },
         in_turn_periods: FAR_PERIODS,
         relays: is_busy,
-        hears_readers: spans,
+        monitors_readers: spans,
     }
 }
 
--- a/crates/fleet/src/helpers.rs
+++ b/crates/fleet/src/helpers.rs
@@ -54,7 +54,7 @@
 fn count_exceeding_behind(here: &[&Candidate], behind: &BTreeSet<VmId>) -> usize {
     let leading = here.iter().take_while(|entry| behind.contains(&entry.vm)).count();
     let next_is_weaker =
-        leading > 0 && leading < here.len() && here[leading].strength < here[leading - 1].strength;
+        leading > 0 && leading < here.len() && here[leading].capacity < here[leading - 1].capacity;
     if !next_is_weaker {
         return 0;
     }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use rand::Rng;
-use shallotfork_membership::{Announcement, News, View, ViewConfig};
+use shallotfork_membership::{Announcement, MemberUpdate, MembershipView, ViewConfig};
 use shallotfork_types::{Endpoint, Mono, VmId};
 
-use crate::beat::Beat;
-use crate::beliefs::{Beliefs, Known};
+use crate::beat::FleetHeartbeat;
+use crate::beliefs::{FleetView, Known};
 use crate::outreach::{all_known, some_known};
-use crate::pace::{PERIOD, near_periods};
-use crate::sight::PlatformSight;
+use crate::pace::{HEARTBEAT_PERIOD, near_periods};
+use crate::sight::PlatformAvailability;
 use crate::told::Told;
 use crate::words::Words;
 
@@ -38,17 +38,17 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OwnState {
     /// Whether it knows routes.
-    pub synced: bool,
+    pub is_synced: bool,
     /// Whether a planned stop is under way.
-    pub leaving: bool,
+    pub is_leaving: bool,
     /// Whether it reads the platform now.
-    pub reads: bool,
+    pub is_reader: bool,
     /// How many targets it knows.
-    pub targets: usize,
+    pub target_count: usize,
     /// Whether its work waits for the processor.
-    pub behind: bool,
+    pub is_overloaded: bool,
     /// How late it does its work, heartbeats among it.
-    pub late_by: Duration,
+    pub scheduling_delay: Duration,
 }
 
 /// What the beliefs follow from; they are made anew when it has changed. With hundreds of entries,
@@ -69,17 +69,17 @@
 pub struct FleetMember {
     own: Announcement,
     own_state: OwnState,
-    view: View,
+    view: MembershipView,
     /// Whether the platform answers. Open to whoever calls the platform, since what comes of these
     /// calls concerns nothing else here.
-    pub sight: PlatformSight,
+    pub platform: PlatformAvailability,
     /// What entries say of themselves.
     words: Words,
     /// Live entries of the own failure domain, by the word of the first ones there.
     told_domain_entries: u32,
     /// What other entries were told.
     told: BTreeMap<VmId, Told>,
-    beliefs: Option<(Basis, Rc<Beliefs>)>,
+    beliefs: Option<(Basis, Rc<FleetView>)>,
     /// Periods since the start.
     periods: u32,
     /// Periods between two heartbeats to the watched ones, as of the last period.
@@ -99,10 +99,10 @@
             ..ViewConfig::default()
         };
         Self {
-            view: View::new(config, &own, now),
+            view: MembershipView::new(config, &own, now),
             own,
             own_state: OwnState::default(),
-            sight: PlatformSight::new(),
+            platform: PlatformAvailability::new(),
             words: Words::default(),
             told_domain_entries: 0,
             told: BTreeMap::new(),
@@ -120,29 +120,29 @@
 
     /// Changes what this process knows of itself.
     pub fn set_own_state(&mut self, own_state: OwnState) {
-        if own_state.leaving && !self.own_state.leaving {
+        if own_state.is_leaving && !self.own_state.is_leaving {
             self.view.leave();
         }
         self.own_state = own_state;
     }
 
     /// This process was paused: the others look silent although only its own clock ran on.
-    pub fn resumed(&mut self, now: Mono) {
-        self.view.resumed(now);
+    pub fn handle_resume(&mut self, now: Mono) {
+        self.view.handle_resume(now);
     }
 
     /// What is believed now.
-    pub fn beliefs(&mut self, now: Mono) -> Rc<Beliefs> {
+    pub fn view(&mut self, now: Mono) -> Rc<FleetView> {
         let basis = self.basis();
-        let holds = |beliefs: &Beliefs| beliefs.hold_until.is_none_or(|until| now < until);
+        let holds = |beliefs: &FleetView| beliefs.hold_until.is_none_or(|until| now < until);
         if let Some((kept_basis, kept)) = &self.beliefs
             && *kept_basis == basis
             && holds(kept)
         {
             return Rc::clone(kept);
         }
-        let made = Rc::new(Beliefs::new(self.known(now)));
-        self.view.set_passed_on(made.heads.clone());
+        let made = Rc::new(FleetView::new(self.known(now)));
+        self.view.set_passed_on(made.core_entries.clone());
         self.view.set_relays(made.contacts.relays);
         self.beliefs = Some((basis, Rc::clone(&made)));
         made
@@ -150,22 +150,25 @@
 
     /// Whether this entry should read the platform: it is one of the readers, or hears none of them.
     pub fn should_read(&mut self, now: Mono) -> bool {
-        let beliefs = self.beliefs(now);
+        let beliefs = self.view(now);
         let contacts = &beliefs.contacts;
-        let way =
-            if contacts.hears_readers { Duration::ZERO } else { PERIOD * contacts.watched_periods };
-        beliefs.readers.contains(self.own_vm()) || self.sight.misses_readers(way, now)
+        let way = if contacts.monitors_readers {
+            Duration::ZERO
+        } else {
+            HEARTBEAT_PERIOD * contacts.watched_periods
+        };
+        beliefs.readers.contains(self.own_vm()) || self.platform.misses_readers(way, now)
     }
 
     /// Begins a period: notices who has been silent, and says whom to call.
-    pub fn period(
+    pub fn start_period(
         &mut self,
         seeds: &[Endpoint],
         rng: &mut impl Rng,
         now: Mono,
     ) -> BTreeSet<Endpoint> {
-        self.words.note_own(self.own_state.behind, now);
-        let beliefs = self.beliefs(now);
+        self.words.note_own(self.own_state.is_overloaded, now);
+        let beliefs = self.view(now);
         self.watch(&beliefs, now);
         let period = self.periods;
         self.periods = self.periods.wrapping_add(1);
@@ -185,7 +188,7 @@
     /// Where connections are kept, when it is time to close all others; `None` at most periods, since
     /// what is called by chance may be called again.
     pub fn connections_to_keep(&mut self, now: Mono) -> Option<BTreeSet<Endpoint>> {
-        let beliefs = self.beliefs(now);
+        let beliefs = self.view(now);
         let due = is_outreach(&beliefs, self.periods.wrapping_sub(1));
         let contacts = beliefs.contacts.watched.iter().chain(&beliefs.contacts.in_turn);
         due.then(|| contacts.filter_map(|vm| beliefs.endpoint(vm)).collect())
@@ -195,8 +198,8 @@
     /// sent to, or whose word is passed on, tells every entry that it knows; any other those that it
     /// exchanges heartbeats with.
     pub fn leave(&mut self, now: Mono) -> Vec<Endpoint> {
-        let before = self.beliefs(now);
-        self.set_own_state(OwnState { leaving: true, ..self.own_state });
+        let before = self.view(now);
+        self.set_own_state(OwnState { is_leaving: true, ..self.own_state });
         let contacts = &before.contacts;
         let told = before.order.iter().map(|entry| &entry.vm).filter(|vm| {
             *vm != self.own_vm() && (contacts.relays || contacts.watched.contains(vm))
@@ -209,21 +212,21 @@
     /// Heads that differ are told until they agree. News is passed on a bounded number of times, so
     /// that in a large fleet some never reach an entry that is busy or cut off for a moment; it would
     /// send callers to other entries than the rest of the fleet for ever.
-    pub fn beat_for(&mut self, to: &VmId, now: Mono) -> Beat {
-        let beliefs = self.beliefs(now);
+    pub fn heartbeat_for(&mut self, to: &VmId, now: Mono) -> FleetHeartbeat {
+        let beliefs = self.view(now);
         let news = self.due_news(&beliefs, to, now);
         let round = self.view.own_round();
         let mut from = Announcement { round, ..self.own.clone() };
-        from.listed.leaving = self.own_state.leaving;
-        Beat {
+        from.listed.leaving = self.own_state.is_leaving;
+        FleetHeartbeat {
             from,
-            starting: !self.own_state.synced,
-            news: news.into_values().collect(),
-            digest: beliefs.digest,
-            platform_lost: self.sight.is_blind(),
-            platform: self.sight.ages(self.own_state.reads, now),
+            is_starting: !self.own_state.is_synced,
+            updates: news.into_values().collect(),
+            core_digest: beliefs.digest,
+            is_disconnected: self.platform.is_disconnected(),
+            platform: self.platform.ages(self.own_state.is_reader, now),
             domain_entries: beliefs.domain_entries,
-            behind: self.words.is_own_behind(),
+            is_overloaded: self.words.is_own_behind(),
         }
     }
 
@@ -231,8 +234,8 @@
     ///
     /// In a large failure domain most entries call the first ones there seldom. If they waited for
     /// the silence of several such calls, they would name lost entries to callers for two seconds.
-    pub fn unanswered(&mut self, endpoint: Endpoint, now: Mono) {
-        let beliefs = self.beliefs(now);
+    pub fn record_unanswered_call(&mut self, endpoint: Endpoint, now: Mono) {
+        let beliefs = self.view(now);
         let mut watched = beliefs.contacts.watched.iter();
         let Some(vm) = watched.find(|vm| beliefs.endpoint(vm) == Some(endpoint)) else { return };
         let count = self.unanswered.entry(vm.clone()).or_default();
@@ -244,23 +247,23 @@
     }
 
     /// Takes what another entry says.
-    pub fn heard(&mut self, beat: &Beat, now: Mono) {
+    pub fn receive_heartbeat(&mut self, beat: &FleetHeartbeat, now: Mono) {
         let vm = &beat.from.listed.vm;
         let known = self.view.knows_run(vm, beat.from.incarnation);
-        self.view.heard(&beat.from, now);
+        self.view.receive_heartbeat(&beat.from, now);
         self.unanswered.remove(vm);
-        for news in &beat.news {
-            self.view.told(news, now);
+        for news in &beat.updates {
+            self.view.receive_update(news, now);
         }
         self.words.note(beat, now);
-        let beliefs = self.beliefs(now);
+        let beliefs = self.view(now);
         self.note_source(&beliefs, beat, now);
         self.note_domain_entries(&beliefs, beat);
         if !known {
             self.told.remove(vm);
         }
         let told = self.told.entry(vm.clone()).or_insert_with(|| Told::new(now));
-        told.compared(beat.digest == beliefs.digest, self.view.version(), now);
+        told.compared(beat.core_digest == beliefs.digest, self.view.version(), now);
     }
 
     fn own_vm(&self) -> &VmId {
@@ -271,17 +274,17 @@
         Basis {
             view_version: self.view.version(),
             words_version: self.words.version(),
-            synced: self.own_state.synced,
-            leaving: self.own_state.leaving,
-            blind: self.sight.is_blind(),
-            targets: self.own_state.targets,
+            synced: self.own_state.is_synced,
+            leaving: self.own_state.is_leaving,
+            blind: self.platform.is_disconnected(),
+            targets: self.own_state.target_count,
             near_periods: near_periods(self.told_domain_entries as usize),
         }
     }
 
     fn known(&self, now: Mono) -> Known<'_> {
         let mut blind = self.words.blind().clone();
-        if self.sight.is_blind() {
+        if self.platform.is_disconnected() {
             blind.insert(self.own_vm().clone());
         }
         Known {
@@ -291,9 +294,9 @@
             behind: self.words.behind(now),
             is_behind: self.words.is_own_behind(),
             blind,
-            serves: self.own_state.synced && !self.own_state.leaving,
-            leaving: self.own_state.leaving,
-            targets: self.own_state.targets,
+            serves: self.own_state.is_synced && !self.own_state.is_leaving,
+            leaving: self.own_state.is_leaving,
+            targets: self.own_state.target_count,
             told_domain_entries: self.told_domain_entries,
         }
     }
@@ -302,22 +305,22 @@
     ///
     /// An entry that is late itself both calls late and reads the answers late; the others are not
     /// silent for that.
-    fn watch(&mut self, beliefs: &Beliefs, now: Mono) {
+    fn watch(&mut self, beliefs: &FleetView, now: Mono) {
         let contacts = &beliefs.contacts;
-        let silence = SUSPECT_AFTER.max(PERIOD * contacts.watched_periods * 3);
-        let silence = silence + self.own_state.late_by * LATENESS_FACTOR;
+        let silence = SUSPECT_AFTER.max(HEARTBEAT_PERIOD * contacts.watched_periods * 3);
+        let silence = silence + self.own_state.scheduling_delay * LATENESS_FACTOR;
         self.view.set_suspect_after(silence);
         if contacts.watched_periods < self.watched_periods {
             // They have been called less often until now, and are not silent for that.
-            self.view.watch(&BTreeSet::new(), now);
+            self.view.monitor(&BTreeSet::new(), now);
         }
         self.watched_periods = contacts.watched_periods;
-        self.view.watch(&contacts.watched.iter().cloned().collect(), now);
+        self.view.monitor(&contacts.watched.iter().cloned().collect(), now);
         self.view.expire(now);
     }
 
     /// Contacts that are called at a period.
-    fn due(&self, beliefs: &Beliefs, period: u32) -> BTreeSet<Endpoint> {
+    fn due(&self, beliefs: &FleetView, period: u32) -> BTreeSet<Endpoint> {
         let contacts = &beliefs.contacts;
         let mut due: Vec<&VmId> = Vec::new();
         if period.is_multiple_of(contacts.watched_periods) {
@@ -332,9 +335,18 @@
     }
 
     /// News by the VM that it is about.
-    fn due_news(&mut self, beliefs: &Beliefs, to: &VmId, now: Mono) -> BTreeMap<VmId, News> {
+    fn due_news(
+        &mut self,
+        beliefs: &FleetView,
+        to: &VmId,
+        now: Mono,
+    ) -> BTreeMap<VmId, MemberUpdate> {
         // The others hear by the comparison of heads.
-        let mut news = if beliefs.heads.contains(to) { self.view.news() } else { Vec::new() };
+        let mut news = if beliefs.core_entries.contains(to) {
+            self.view.take_due_updates()
+        } else {
+            Vec::new()
+        };
         let version = self.view.version();
         let since = self.told.get_mut(to).and_then(|told| told.take_due(version, now));
         news.extend(since.map_or_else(Vec::new, |since| self.view.news_since(since)));
@@ -343,16 +355,16 @@
     }
 
     /// Those who read the platform say whether it answers them; others pass on what they heard.
-    fn note_source(&mut self, beliefs: &Beliefs, beat: &Beat, now: Mono) {
+    fn note_source(&mut self, beliefs: &FleetView, beat: &FleetHeartbeat, now: Mono) {
         if beliefs.readers.contains(&beat.from.listed.vm) {
-            self.sight.told(!beat.platform_lost, now);
-        } else if !beliefs.contacts.hears_readers {
-            self.sight.relayed(beat.platform, now);
+            self.platform.told(!beat.is_disconnected, now);
+        } else if !beliefs.contacts.monitors_readers {
+            self.platform.relayed(beat.platform, now);
         }
     }
 
     /// The first ones of the own failure domain know how many stand there.
-    fn note_domain_entries(&mut self, beliefs: &Beliefs, beat: &Beat) {
+    fn note_domain_entries(&mut self, beliefs: &FleetView, beat: &FleetHeartbeat) {
         let listed = &beat.from.listed;
         let here = listed.failure_domain == self.own.listed.failure_domain;
         if here && !beliefs.contacts.relays && beliefs.contacts.watched.contains(&listed.vm) {
@@ -361,6 +373,6 @@
     }
 }
 
-fn is_outreach(beliefs: &Beliefs, period: u32) -> bool {
+fn is_outreach(beliefs: &FleetView, period: u32) -> bool {
     period.is_multiple_of(OUTREACH_EVERY * beliefs.contacts.watched_periods)
 }
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -17,7 +17,7 @@
     /// Where it stands.
     pub failure_domain: FailureDomain,
     /// Requests that it could carry.
-    pub strength: PerSecond,
+    pub capacity: PerSecond,
 }
 
 impl From<&EntryVm> for Candidate {
@@ -25,7 +25,7 @@
         Self {
             vm: entry.vm.clone(),
             failure_domain: entry.failure_domain.clone(),
-            strength: entry.strength,
+            capacity: entry.capacity,
         }
     }
 }
@@ -42,14 +42,14 @@
 pub fn fleet_order(mut candidates: Vec<Candidate>) -> Vec<Candidate> {
     candidates.sort_by_cached_key(|candidate| {
         let weight = rendezvous_weight(RANKING, candidate.vm.as_str());
-        Reverse((candidate.strength, weight))
+        Reverse((candidate.capacity, weight))
     });
     let mut seen: BTreeMap<(PerSecond, FailureDomain), usize> = BTreeMap::new();
     candidates.sort_by_cached_key(|candidate| {
-        let alike = (candidate.strength, candidate.failure_domain.clone());
+        let alike = (candidate.capacity, candidate.failure_domain.clone());
         let place = seen.entry(alike).or_default();
         *place += 1;
-        (Reverse(candidate.strength), *place)
+        (Reverse(candidate.capacity), *place)
     });
     candidates
 }
--- a/crates/fleet/src/pace.rs
+++ b/crates/fleet/src/pace.rs
@@ -4,7 +4,7 @@
 
 /// Time between two heartbeats among the first entries of a failure domain. With the silence after
 /// which an entry is suspected, callers are sent elsewhere within a second of a loss.
-pub const PERIOD: Duration = Duration::from_millis(150);
+pub const HEARTBEAT_PERIOD: Duration = Duration::from_millis(150);
 /// Entries whose heartbeats the first ones can take at the shortest period; in a larger failure
 /// domain the others send theirs less often, such that the first ones take no more.
 const ENTRIES_PER_PERIOD: usize = 20;
@@ -24,6 +24,6 @@
 
 /// How long a change takes to reach everybody in a failure domain of so many entries, from the first
 /// one there.
-pub fn spread_time(entries_here: usize) -> Duration {
-    PERIOD * (near_periods(entries_here) + 2)
+pub fn propagation_delay(entries_here: usize) -> Duration {
+    HEARTBEAT_PERIOD * (near_periods(entries_here) + 2)
 }
--- a/crates/fleet/src/sight.rs
+++ b/crates/fleet/src/sight.rs
@@ -20,11 +20,11 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PlatformAges {
     /// Since it answered somebody; `None` if it is not known to have.
-    pub answered: Option<Duration>,
+    pub last_answer: Option<Duration>,
     /// Since a reader was heard, whatever it said; `None` for never.
-    pub reader_heard: Option<Duration>,
+    pub reader_last_seen: Option<Duration>,
     /// For how long it has answered nobody; `None` while it answers.
-    pub away: Option<Duration>,
+    pub outage: Option<Duration>,
 }
 
 /// What an entry has seen and heard of the platform.
@@ -33,7 +33,7 @@
 /// takes the platform to be down would excuse missing entries of targets as lapsed, and go on
 /// sending requests to targets that have left, although the other entries tell it of every change.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct PlatformSight {
+pub struct PlatformAvailability {
     own_lost_at: Option<Mono>,
     others_lost_at: Option<Mono>,
     others_answered_at: Option<Mono>,
@@ -41,21 +41,21 @@
     heard_at: Option<Mono>,
 }
 
-impl PlatformSight {
+impl PlatformAvailability {
     /// Nothing has been seen or heard yet.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// A call of this entry failed; whether it is the first one.
-    pub fn failed(&mut self, now: Mono) -> bool {
+    pub fn record_failure(&mut self, now: Mono) -> bool {
         let first = self.own_lost_at.is_none();
         self.own_lost_at.get_or_insert(now);
         first
     }
 
     /// A call of this entry was answered; since when none had been.
-    pub fn answered(&mut self) -> Option<Mono> {
+    pub fn record_answer(&mut self) -> Option<Mono> {
         self.others_lost_at = None;
         self.own_lost_at.take()
     }
@@ -87,15 +87,15 @@
     /// What to tell others; `reads` says that this entry reads the platform now.
     pub fn ages(&self, reads: bool, now: Mono) -> PlatformAges {
         let since = |at: Mono| now.since(at);
-        let answers = reads && !self.is_blind();
+        let answers = reads && !self.is_disconnected();
         PlatformAges {
-            answered: if answers {
+            last_answer: if answers {
                 Some(Duration::ZERO)
             } else {
                 self.others_answered_at.map(since)
             },
-            reader_heard: if reads { Some(Duration::ZERO) } else { self.heard_at.map(since) },
-            away: self.away_since(now).map(since),
+            reader_last_seen: if reads { Some(Duration::ZERO) } else { self.heard_at.map(since) },
+            outage: self.outage_started_at(now).map(since),
         }
     }
 
@@ -106,9 +106,9 @@
     /// nothing else.
     pub fn relayed(&mut self, ages: PlatformAges, now: Mono) {
         let at = |age: Duration| now.minus(age + WAY);
-        self.heard_at = self.heard_at.max(ages.reader_heard.map(at));
-        self.others_answered_at = self.others_answered_at.max(ages.answered.map(at));
-        if let Some(lost_at) = ages.away.map(at) {
+        self.heard_at = self.heard_at.max(ages.reader_last_seen.map(at));
+        self.others_answered_at = self.others_answered_at.max(ages.last_answer.map(at));
+        if let Some(lost_at) = ages.outage.map(at) {
             self.others_lost_at.get_or_insert(lost_at);
         }
         if self.others_answered_at > self.others_lost_at {
@@ -117,13 +117,13 @@
     }
 
     /// Whether this entry itself can't read the platform.
-    pub fn is_blind(&self) -> bool {
+    pub fn is_disconnected(&self) -> bool {
         self.own_lost_at.is_some()
     }
 
     /// Since when the platform has answered nobody that this entry knows of; `None` while it
     /// answers.
-    pub fn away_since(&self, now: Mono) -> Option<Mono> {
+    pub fn outage_started_at(&self, now: Mono) -> Option<Mono> {
         let told_lately = |at: Mono| now.since(at) < WORD_COUNTS_FOR;
         if self.others_answered_at.is_some_and(told_lately) {
             return None;
--- a/crates/fleet/src/words.rs
+++ b/crates/fleet/src/words.rs
@@ -5,7 +5,7 @@
 
 use shallotfork_types::{Mono, VmId};
 
-use crate::beat::Beat;
+use crate::beat::FleetHeartbeat;
 
 /// How long the word of an entry counts that it knows no routes yet. It takes it back to those whom
 /// it calls, not to all that have heard it; without an end, some of these would leave it out for
@@ -70,12 +70,12 @@
     }
 
     /// Takes what an entry says.
-    pub(crate) fn note(&mut self, beat: &Beat, now: Mono) {
+    pub(crate) fn note(&mut self, beat: &FleetHeartbeat, now: Mono) {
         let vm = &beat.from.listed.vm;
         let before = self.of(vm, now);
-        say(&mut self.starting, vm, beat.starting, now);
-        say(&mut self.behind, vm, beat.behind, now);
-        if beat.platform_lost {
+        say(&mut self.starting, vm, beat.is_starting, now);
+        say(&mut self.behind, vm, beat.is_overloaded, now);
+        if beat.is_disconnected {
             self.blind.insert(vm.clone());
         } else {
             self.blind.remove(vm);
--- a/crates/fleet/tests/active.rs
+++ b/crates/fleet/tests/active.rs
@@ -7,7 +7,8 @@
 
 use quickcheck::QuickCheck;
 use shallotfork_fleet::{
-    ActiveEntry, Candidate, Regions, active_entries, entries_for, fleet_order, with_helpers,
+    AdvertisedEntry, Candidate, Regions, active_entries, endpoints_for_caller, fleet_order,
+    with_helpers,
 };
 use shallotfork_types::{Endpoint, FailureDomain, PerSecond, Region, VmId};
 
@@ -17,22 +18,22 @@
     FailureDomain::new(&format!("hall-{number}")).unwrap()
 }
 
-fn active(number: usize, domain: usize, strength: u32) -> ActiveEntry {
-    ActiveEntry {
+fn active(number: usize, domain: usize, capacity: u32) -> AdvertisedEntry {
+    AdvertisedEntry {
         vm: VmId::new(&format!("vm-{number}")).unwrap(),
         failure_domain: hall(domain),
         callers: format!("10.0.0.{number}:80").parse().unwrap(),
-        strength: PerSecond::new(strength),
+        capacity: PerSecond::new(capacity),
     }
 }
 
 /// Entries in three halls in turn; `(count, strength)`.
 fn fleet(strengths: &[(usize, u32)]) -> Vec<Candidate> {
-    let all = strengths.iter().flat_map(|(count, strength)| vec![*strength; *count]);
-    let candidate = |(number, strength)| Candidate {
+    let all = strengths.iter().flat_map(|(count, capacity)| vec![*capacity; *count]);
+    let candidate = |(number, capacity)| Candidate {
         vm: VmId::new(&format!("vm-{number}")).unwrap(),
         failure_domain: hall(number % HALLS),
-        strength: PerSecond::new(strength),
+        capacity: PerSecond::new(capacity),
     };
     fleet_order(all.enumerate().map(candidate).collect())
 }
@@ -74,7 +75,7 @@
 fn somebody_is_named_whenever_somebody_lives() {
     fn property(strengths: Vec<u16>, targets: u16) -> bool {
         let strengths: Vec<(usize, u32)> =
-            strengths.into_iter().map(|strength| (1, strength.into())).collect();
+            strengths.into_iter().map(|capacity| (1, capacity.into())).collect();
         let order = fleet(&strengths);
         let active = active_entries(targets.into(), &order);
         let places = active.iter().map(|entry| order.iter().position(|other| other == entry));
@@ -91,25 +92,25 @@
     let named = [entry(1, 0), entry(2, 1), entry(3, 1)];
     let all: Vec<Endpoint> = named.iter().map(|entry| entry.callers).collect();
     let sent: BTreeMap<usize, Vec<Endpoint>> = (0..HALLS)
-        .map(|number| (number, entries_for(&named, &none, Some(&hall(number)))))
+        .map(|number| (number, endpoints_for_caller(&named, &none, Some(&hall(number)))))
         .collect();
     assert_eq!(sent[&0], all[..1]);
     assert_eq!(sent[&1], all[1..]);
     assert_eq!(sent[&2], all);
-    assert_eq!(entries_for(&named, &none, None), all);
-    assert!(entries_for(&[], &none, Some(&hall(0))).is_empty());
+    assert_eq!(endpoints_for_caller(&named, &none, None), all);
+    assert!(endpoints_for_caller(&[], &none, Some(&hall(0))).is_empty());
 }
 
 /// Guards against callers who know a single address and wait, when its entry is killed, until they may
 /// ask for another one.
 #[test]
 fn a_caller_is_told_other_entries_of_its_region() {
-    let entry = |number, strength| active(number, number, strength);
+    let entry = |number, capacity| active(number, number, capacity);
     let region = |name: &str| Region::new(name).unwrap();
     let regions: Regions =
         [(hall(0), region("north")), (hall(1), region("north")), (hall(2), region("south"))].into();
-    let sent = |active: &[ActiveEntry], number: usize| {
-        entries_for(active, &regions, Some(&hall(number))).len()
+    let sent = |active: &[AdvertisedEntry], number: usize| {
+        endpoints_for_caller(active, &regions, Some(&hall(number))).len()
     };
     let alike = [entry(0, 833), entry(1, 500), entry(2, 833)];
     assert_eq!((0..HALLS).map(|number| sent(&alike, number)).collect::<Vec<_>>(), [2, 2, 1]);
@@ -169,7 +170,7 @@
 fn nobody_is_left_out_for_being_behind() {
     fn property(strengths: Vec<u16>, targets: u16, late: Vec<u8>) -> bool {
         let strengths: Vec<(usize, u32)> =
-            strengths.into_iter().map(|strength| (1, strength.into())).collect();
+            strengths.into_iter().map(|capacity| (1, capacity.into())).collect();
         let order = fleet(&strengths);
         let usual = active_entries(targets.into(), &order);
         let vm = |number: u8| VmId::new(&format!("vm-{number}")).unwrap();
--- a/crates/fleet/tests/contacts.rs
+++ b/crates/fleet/tests/contacts.rs
@@ -17,11 +17,11 @@
 
 /// Entries in five halls in turn; `(count, strength)`.
 fn fleet(strengths: &[(usize, u32)]) -> Vec<Candidate> {
-    let all = strengths.iter().flat_map(|(count, strength)| vec![*strength; *count]);
-    let candidate = |(number, strength)| Candidate {
+    let all = strengths.iter().flat_map(|(count, capacity)| vec![*capacity; *count]);
+    let candidate = |(number, capacity)| Candidate {
         vm: VmId::new(&format!("vm-{number}")).unwrap(),
         failure_domain: FailureDomain::new(&format!("hall-{}", number % HALLS)).unwrap(),
-        strength: PerSecond::new(strength),
+        capacity: PerSecond::new(capacity),
     };
     fleet_order(all.enumerate().map(candidate).collect())
 }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -81,7 +81,7 @@
 fn the_loss_of_all_strong_entries_is_known_to_the_rest() {
     for seed in SEEDS {
         let mut model = running(seed);
-        model.lose(|_, vm| vm.strength.value() == STRONG);
+        model.lose(|_, vm| vm.capacity.value() == STRONG);
         assert!(model.converge(LOSS_MAX_MS).is_some(), "seed {seed}");
     }
 }
--- a/crates/fleet/tests/order.rs
+++ b/crates/fleet/tests/order.rs
@@ -12,9 +12,9 @@
     VmId::new(&format!("vm-{number}")).unwrap()
 }
 
-fn candidate(number: usize, strength: u32) -> Candidate {
+fn candidate(number: usize, capacity: u32) -> Candidate {
     let failure_domain = FailureDomain::new(&format!("hall-{}", number % 3)).unwrap();
-    Candidate { vm: vm(number), failure_domain, strength: PerSecond::new(strength) }
+    Candidate { vm: vm(number), failure_domain, capacity: PerSecond::new(capacity) }
 }
 
 /// Entries agree on the order whatever the order in which they heard of each other.
@@ -24,7 +24,7 @@
         let mut candidates: Vec<Candidate> = entries
             .iter()
             .enumerate()
-            .map(|(number, strength)| candidate(number, (*strength).into()))
+            .map(|(number, capacity)| candidate(number, (*capacity).into()))
             .collect();
         let order = fleet_order(candidates.clone());
         candidates.reverse();
@@ -52,6 +52,6 @@
 }
 
 fn fleet(strengths: &[(usize, u32)]) -> Vec<Candidate> {
-    let all = strengths.iter().flat_map(|(count, strength)| vec![*strength; *count]);
-    fleet_order(all.enumerate().map(|(number, strength)| candidate(number, strength)).collect())
+    let all = strengths.iter().flat_map(|(count, capacity)| vec![*capacity; *count]);
+    fleet_order(all.enumerate().map(|(number, capacity)| candidate(number, capacity)).collect())
 }
--- a/crates/fleet/tests/pace.rs
+++ b/crates/fleet/tests/pace.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use shallotfork_fleet::{near_periods, spread_time};
+use shallotfork_fleet::{near_periods, propagation_delay};
 
 #[test]
 fn a_larger_failure_domain_sends_no_more_to_its_first_entries() {
@@ -11,5 +11,5 @@
 
 #[test]
 fn a_change_reaches_a_large_failure_domain_within_the_users_two_seconds() {
-    assert!(spread_time(1000) < Duration::from_millis(1500));
+    assert!(propagation_delay(1000) < Duration::from_millis(1500));
 }
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -9,7 +9,8 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use shallotfork_fleet::{
-    Beat, Candidate, FleetMember, OwnState, PERIOD, active_entries, first_seed, fleet_order,
+    Candidate, FleetHeartbeat, FleetMember, HEARTBEAT_PERIOD, OwnState, active_entries,
+    choose_initial_seed, fleet_order,
 };
 use shallotfork_membership::{Announcement, EntryState, ListedVm};
 use shallotfork_quarantine::{
@@ -50,7 +51,7 @@
 /// A heartbeat between entries.
 #[derive(Debug, PartialEq, Eq)]
 struct Message {
-    beat: Beat,
+    beat: FleetHeartbeat,
     crash_reports: Vec<CrashReport>,
     digest: QuarantineDigest,
 }
@@ -110,9 +111,9 @@
 impl Model {
     /// A fleet of `(count, strength)` in so many failure domains in turn; no process runs yet.
     pub fn new(seed: u64, domains: usize, strengths: &[(usize, u32)]) -> Self {
-        let all = strengths.iter().flat_map(|(count, strength)| vec![*strength; *count]);
+        let all = strengths.iter().flat_map(|(count, capacity)| vec![*capacity; *count]);
         let vms: Vec<Vm> =
-            all.enumerate().map(|(number, strength)| vm(number, domains, strength)).collect();
+            all.enumerate().map(|(number, capacity)| vm(number, domains, capacity)).collect();
         let by_endpoint =
             vms.iter().enumerate().map(|(index, vm)| (vm.listed.peers, index)).collect();
         let seeds = [20, 40, 60].map(|index| vms[index].listed.peers).to_vec();
@@ -186,7 +187,7 @@
     pub fn named_by(&mut self, index: usize) -> Option<Vec<VmId>> {
         let now = self.now;
         let member = self.vms[index].member.as_mut()?;
-        Some(member.beliefs(now).named.iter().map(|entry| entry.vm.clone()).collect())
+        Some(member.view(now).advertised.iter().map(|entry| entry.vm.clone()).collect())
     }
 
     /// Where an entry is in the model.
@@ -202,8 +203,8 @@
     }
 
     /// An entry notices how late it is with its heartbeats.
-    pub fn set_late_by(&mut self, index: usize, late_by: Duration) {
-        self.change_own(index, |own| OwnState { late_by, ..own });
+    pub fn set_late_by(&mut self, index: usize, scheduling_delay: Duration) {
+        self.change_own(index, |own| OwnState { scheduling_delay, ..own });
     }
 
     /// How often an entry has come to suspect others, sampled for so long.
@@ -223,15 +224,15 @@
     fn suspected_by(&mut self, index: usize) -> BTreeSet<VmId> {
         let now = self.now;
         let Some(member) = self.vms[index].member.as_mut() else { return BTreeSet::new() };
-        let beliefs = member.beliefs(now);
+        let beliefs = member.view(now);
         let entries = beliefs.entries.values();
         let suspected = entries.filter(|entry| entry.state == EntryState::Suspected);
         suspected.map(|entry| entry.vm.clone()).collect()
     }
 
     /// An entry's work begins, or ends, to wait for its processor.
-    pub fn set_behind(&mut self, index: usize, behind: bool) {
-        self.change_own(index, |own| OwnState { behind, ..own });
+    pub fn set_behind(&mut self, index: usize, is_overloaded: bool) {
+        self.change_own(index, |own| OwnState { is_overloaded, ..own });
     }
 
     fn change_own(&mut self, index: usize, change: impl FnOnce(OwnState) -> OwnState) {
@@ -251,7 +252,7 @@
         let candidates = running.map(|vm| Candidate {
             vm: vm.listed.vm.clone(),
             failure_domain: vm.listed.failure_domain.clone(),
-            strength: vm.listed.strength,
+            capacity: vm.listed.capacity,
         });
         let order = fleet_order(candidates.collect());
         active_entries(TARGETS, &order).into_iter().map(|entry| entry.vm).collect()
@@ -265,7 +266,7 @@
             Event::Unanswered(index, run, endpoint) => {
                 let now = self.now;
                 if let Some(member) = self.running(index, run) {
-                    member.unanswered(endpoint, now);
+                    member.record_unanswered_call(endpoint, now);
                 }
             }
             Event::Arrives { from, to, message, answers } => {
@@ -290,7 +291,7 @@
         vm.started_at = self.now;
         vm.quarantine = Quarantine::new(QuarantineConfig::default());
         let own = vm.listed.peers;
-        let seed = first_seed(&self.seeds, own, &mut self.rng);
+        let seed = choose_initial_seed(&self.seeds, own, &mut self.rng);
         seed.into_iter().for_each(|seed| self.call(index, seed));
         self.after(SYNC_MS, Event::Synced(index, run));
         self.after_period(index, run);
@@ -299,7 +300,7 @@
     fn synced(&mut self, index: usize, run: u64) {
         if let Some(member) = self.running(index, run) {
             let own = member.own_state();
-            member.set_own_state(OwnState { synced: true, targets: TARGETS, ..own });
+            member.set_own_state(OwnState { is_synced: true, target_count: TARGETS, ..own });
         }
     }
 
@@ -307,10 +308,10 @@
         let (now, seeds) = (self.now, self.seeds.clone());
         let vm = &mut self.vms[index];
         let Some(member) = vm.member.as_mut().filter(|_| vm.run == run) else { return };
-        let called = member.period(&seeds, &mut self.rng, now);
-        let reads = member.should_read(now);
+        let called = member.start_period(&seeds, &mut self.rng, now);
+        let is_reader = member.should_read(now);
         let own = member.own_state();
-        member.set_own_state(OwnState { reads, ..own });
+        member.set_own_state(OwnState { is_reader, ..own });
         called.into_iter().for_each(|endpoint| self.call(index, endpoint));
         self.after_period(index, run);
     }
@@ -327,7 +328,7 @@
         let now = self.now;
         let vm = &mut self.vms[to];
         let Some(member) = vm.member.as_mut() else { return };
-        member.heard(&message.beat, now);
+        member.receive_heartbeat(&message.beat, now);
         for report in &message.crash_reports {
             vm.quarantine.merge(report, now);
         }
@@ -394,13 +395,13 @@
         let sender = &mut self.vms[from];
         let Some(member) = sender.member.as_mut() else { return false };
         let message = Box::new(Message {
-            beat: member.beat_for(&vm, now),
+            beat: member.heartbeat_for(&vm, now),
             crash_reports: sender.quarantine.reports(peer_digest, now),
             digest: sender.quarantine.digest(now),
         });
         self.sent += 1;
         self.crossed += usize::from(crosses);
-        self.news += message.beat.news.len();
+        self.news += message.beat.updates.len();
         self.crash_reports += message.crash_reports.len();
         if self.loss_rate > 0.0 && self.rng.random_bool(self.loss_rate) {
             return false;
@@ -416,7 +417,7 @@
     }
 
     fn after_period(&mut self, index: usize, run: u64) {
-        let period_ms = PERIOD.as_millis() as u64;
+        let period_ms = HEARTBEAT_PERIOD.as_millis() as u64;
         let jitter_ms = self.rng.random_range(0..period_ms / 10);
         let wait_ms = period_ms + jitter_ms + self.lateness_ms(index);
         self.after(wait_ms, Event::Period(index, run));
@@ -437,7 +438,7 @@
     }
 }
 
-fn vm(number: usize, domains: usize, strength: u32) -> Vm {
+fn vm(number: usize, domains: usize, capacity: u32) -> Vm {
     let address = format!("10.{}.{}.{}", number % domains, number / 250, number % 250);
     let listed = ListedVm {
         vm: VmId::new(&format!("vm-{number:04}")).unwrap(),
@@ -445,7 +446,7 @@
         callers: format!("{address}:80").parse().unwrap(),
         peers: format!("{address}:81").parse().unwrap(),
         leaving: false,
-        strength: PerSecond::new(strength),
+        capacity: PerSecond::new(capacity),
     };
     let quarantine = Quarantine::new(QuarantineConfig::default());
     Vm { listed, run: 0, member: None, started_at: Mono::ZERO, quarantine }
--- a/crates/gateway/src/control/beats.rs
+++ b/crates/gateway/src/control/beats.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use shallotfork_events::{RESUMED, event};
-use shallotfork_fleet::{OwnState, PERIOD, first_seed};
+use shallotfork_fleet::{HEARTBEAT_PERIOD, OwnState, choose_initial_seed};
 use shallotfork_measure::Lateness;
 use shallotfork_timer::{Schedule, TimerService};
 use shallotfork_types::Endpoint;
@@ -22,7 +22,7 @@
 /// Exchanges heartbeats at regular intervals for as long as the process runs.
 pub async fn beats(state: Rc<State>, timer: TimerService) {
     tokio::task::spawn_local(first_beat(Rc::clone(&state)));
-    let schedule = Schedule::new(PERIOD).with_jitter(PERIOD / 10);
+    let schedule = Schedule::new(HEARTBEAT_PERIOD).with_jitter(HEARTBEAT_PERIOD / 10);
     let mut ticks = timer.subscribe(schedule);
     let mut lateness = Lateness::new();
     while let Some(tick) = ticks.tick().await {
@@ -32,13 +32,13 @@
             let revision = state.archive.borrow().position();
             event!(state.context.log, RESUMED, "late_ms" => late_ms,
                 "revision" => revision.value());
-            state.fleet.borrow_mut().resumed(tick.now);
+            state.fleet.borrow_mut().handle_resume(tick.now);
         }
-        let behind = state.context.is_behind();
-        let late_by = lateness.at(tick.now).max(state.context.late_by());
-        state.update_own(|own| OwnState { behind, late_by, ..own });
+        let is_overloaded = state.context.is_behind();
+        let scheduling_delay = lateness.at(tick.now).max(state.context.late_by());
+        state.update_own(|own| OwnState { is_overloaded, scheduling_delay, ..own });
         let seeds = state.seeds.borrow().clone();
-        let called = state.fleet.borrow_mut().period(&seeds, &mut rand::rng(), tick.now);
+        let called = state.fleet.borrow_mut().start_period(&seeds, &mut rand::rng(), tick.now);
         if let Some(kept) = state.fleet.borrow_mut().connections_to_keep(tick.now) {
             state.peers.keep_only(&kept);
         }
@@ -53,7 +53,7 @@
 /// Looks for the others at once, without waiting for the first period.
 async fn first_beat(state: Rc<State>) {
     let own = state.context.settings.ports.peers;
-    let seed = first_seed(&state.seeds.borrow(), own, &mut rand::rng());
+    let seed = choose_initial_seed(&state.seeds.borrow(), own, &mut rand::rng());
     if let Some(seed) = seed {
         beat(Rc::clone(&state), seed).await;
     }
@@ -72,7 +72,7 @@
 async fn beat(state: Rc<State>, endpoint: Endpoint) {
     let Some(_turn) = state.peers.turn(endpoint) else { return };
     let Ok(client) = state.peers.client(endpoint).await else {
-        state.fleet.borrow_mut().unanswered(endpoint, state.now());
+        state.fleet.borrow_mut().record_unanswered_call(endpoint, state.now());
         return;
     };
     let own = own_heartbeat(&state, &client.peer().vm, None);
@@ -88,7 +88,7 @@
         // The next heartbeat opens a new connection.
         Err(_) => {
             state.peers.drop_client(endpoint);
-            state.fleet.borrow_mut().unanswered(endpoint, state.now());
+            state.fleet.borrow_mut().record_unanswered_call(endpoint, state.now());
         }
     }
 }
--- a/crates/gateway/src/control/hearing.rs
+++ b/crates/gateway/src/control/hearing.rs
@@ -1,8 +1,8 @@
 //! Between the fleet's own account of heartbeats and the messages that carry them.
 
-use shallotfork_fleet::{Beat, PlatformAges};
+use shallotfork_fleet::{FleetHeartbeat, PlatformAges};
 use shallotfork_measure::RateLimitReport;
-use shallotfork_membership::{Announcement, ListedVm, News};
+use shallotfork_membership::{Announcement, ListedVm, MemberUpdate};
 use shallotfork_peer::{Heartbeat, PeerId, PeerNews, PeerState, PlatformWord};
 use shallotfork_quarantine::{CrashReport, QuarantineDigest};
 use shallotfork_types::VmId;
@@ -16,46 +16,54 @@
 /// `peer_digest` is the digest in the heartbeat that is being answered, if any.
 pub fn own_heartbeat(state: &State, to: &VmId, peer_digest: Option<QuarantineDigest>) -> Heartbeat {
     let (crash_reports, quarantine_digest) = quarantine_reports(state, peer_digest);
-    let beat = state.fleet.borrow_mut().beat_for(to, state.now());
-    let Beat { from, starting, news, digest, platform_lost, platform, domain_entries, behind } =
-        beat;
+    let beat = state.fleet.borrow_mut().heartbeat_for(to, state.now());
+    let FleetHeartbeat {
+        from,
+        is_starting,
+        updates,
+        core_digest,
+        is_disconnected,
+        platform,
+        domain_entries,
+        is_overloaded,
+    } = beat;
     let position = state.archive.borrow().position();
     Heartbeat {
-        state: peer_state(from.listed.leaving, starting),
+        state: peer_state(from.listed.leaving, is_starting),
         failure_domain: from.listed.failure_domain,
         callers: from.listed.callers,
         peers: from.listed.peers,
         round: from.round,
-        news: news.into_iter().map(peer_news).collect(),
+        news: updates.into_iter().map(peer_news).collect(),
         seen_revision: position,
         synced_revision: position,
-        lists_digest: digest,
-        platform_lost,
+        lists_digest: core_digest,
+        platform_lost: is_disconnected,
         platform: platform_word(platform),
         domain_entries,
-        behind,
+        behind: is_overloaded,
         crash_reports,
         quarantine_digest,
         rate_limits: lock(&state.context.rate_limits).reports(state.now()),
         restart_safe: true,
         loads: Vec::new(),
-        strength: from.listed.strength,
+        strength: from.listed.capacity,
     }
 }
 
 /// Takes another entry's heartbeat.
 pub fn heard(state: &State, peer: &PeerId, heartbeat: &Heartbeat) {
-    let beat = Beat {
+    let beat = FleetHeartbeat {
         from: announcement(peer, heartbeat),
-        starting: heartbeat.state == PeerState::Starting,
-        news: heartbeat.news.iter().map(told_news).collect(),
-        digest: heartbeat.lists_digest,
-        platform_lost: heartbeat.platform_lost,
+        is_starting: heartbeat.state == PeerState::Starting,
+        updates: heartbeat.news.iter().map(told_news).collect(),
+        core_digest: heartbeat.lists_digest,
+        is_disconnected: heartbeat.platform_lost,
         platform: platform_ages(heartbeat.platform),
         domain_entries: heartbeat.domain_entries,
-        behind: heartbeat.behind,
+        is_overloaded: heartbeat.behind,
     };
-    state.fleet.borrow_mut().heard(&beat, state.now());
+    state.fleet.borrow_mut().receive_heartbeat(&beat, state.now());
     note_sight(state);
     merge_crash_reports(state, &heartbeat.crash_reports);
     merge_rate_limits(state, &heartbeat.rate_limits);
@@ -97,7 +105,7 @@
             callers: beat.callers,
             peers: beat.peers,
             leaving: beat.state == PeerState::Leaving,
-            strength: beat.strength,
+            capacity: beat.strength,
         },
         incarnation: peer.incarnation,
         round: beat.round,
@@ -112,17 +120,17 @@
 }
 
 fn platform_word(ages: PlatformAges) -> PlatformWord {
-    let PlatformAges { answered, reader_heard, away } = ages;
-    PlatformWord { answered, reader_heard, away }
+    let PlatformAges { last_answer, reader_last_seen, outage } = ages;
+    PlatformWord { answered: last_answer, reader_heard: reader_last_seen, away: outage }
 }
 
 fn platform_ages(word: PlatformWord) -> PlatformAges {
     let PlatformWord { answered, reader_heard, away } = word;
-    PlatformAges { answered, reader_heard, away }
+    PlatformAges { last_answer: answered, reader_last_seen: reader_heard, outage: away }
 }
 
-fn peer_news(news: News) -> PeerNews {
-    let News { about, suspected } = news;
+fn peer_news(news: MemberUpdate) -> PeerNews {
+    let MemberUpdate { about, suspected } = news;
     PeerNews {
         about: PeerId::new(about.listed.vm, about.incarnation),
         round: about.round,
@@ -131,11 +139,11 @@
         failure_domain: about.listed.failure_domain,
         callers: about.listed.callers,
         peers: about.listed.peers,
-        strength: about.listed.strength,
+        strength: about.listed.capacity,
     }
 }
 
-fn told_news(news: &PeerNews) -> News {
+fn told_news(news: &PeerNews) -> MemberUpdate {
     let about = Announcement {
         listed: ListedVm {
             vm: news.about.vm.clone(),
@@ -143,10 +151,10 @@
             callers: news.callers,
             peers: news.peers,
             leaving: news.state == PeerState::Leaving,
-            strength: news.strength,
+            capacity: news.strength,
         },
         incarnation: news.about.incarnation,
         round: news.round,
     };
-    News { about, suspected: news.suspected }
+    MemberUpdate { about, suspected: news.suspected }
 }
--- a/crates/gateway/src/control/naming.rs
+++ b/crates/gateway/src/control/naming.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use shallotfork_events::{ACTIVE_CHANGED, ENTRY_CHANGED, event};
-use shallotfork_fleet::{ActiveEntry, Beliefs};
+use shallotfork_fleet::{AdvertisedEntry, FleetView};
 use shallotfork_membership::EntryVm;
 use shallotfork_types::VmId;
 
@@ -24,13 +24,13 @@
         return;
     }
     log_beliefs(state, before.as_deref(), &beliefs);
-    let named = beliefs.named.clone();
-    let named_before = before.map_or_else(Vec::new, |before| before.named.clone());
+    let named = beliefs.advertised.clone();
+    let named_before = before.map_or_else(Vec::new, |before| before.advertised.clone());
     let changed = named_before != named;
     if wants_callers_spread(state, &named_before, &named) {
         spread_callers(state);
     }
-    let live = beliefs.heads.len();
+    let live = beliefs.core_entries.len();
     state.known.set(state.known.get().max(live));
     if changed {
         let names: Vec<&str> = named.iter().map(|entry| entry.vm.as_str()).collect();
@@ -59,9 +59,13 @@
 
 /// Whether others are named beside this entry now for the callers who come here. These keep their
 /// connections for as long as this entry stays named, so that the others would get new callers only.
-fn wants_callers_spread(state: &State, before: &[ActiveEntry], now: &[ActiveEntry]) -> bool {
+fn wants_callers_spread(
+    state: &State,
+    before: &[AdvertisedEntry],
+    now: &[AdvertisedEntry],
+) -> bool {
     let settings = &state.context.settings;
-    let here = |active: &[ActiveEntry]| -> Vec<VmId> {
+    let here = |active: &[AdvertisedEntry]| -> Vec<VmId> {
         let near = active.iter().filter(|entry| entry.failure_domain == settings.failure_domain);
         near.map(|entry| entry.vm.clone()).collect()
     };
@@ -71,7 +75,7 @@
 }
 
 /// Whether callers are sent to an entry, as far as these are the ones that they are sent to.
-fn is_named(active: &[ActiveEntry], vm: &VmId) -> bool {
+fn is_named(active: &[AdvertisedEntry], vm: &VmId) -> bool {
     active.iter().any(|entry| entry.vm == *vm)
 }
 
@@ -85,7 +89,7 @@
     });
 }
 
-fn log_beliefs(state: &State, before: Option<&Beliefs>, now: &Beliefs) {
+fn log_beliefs(state: &State, before: Option<&FleetView>, now: &FleetView) {
     let is_new =
         |entry: &&EntryVm| before.and_then(|before| before.entries.get(&entry.vm)) != Some(*entry);
     for entry in now.entries.values().filter(is_new) {
--- a/crates/gateway/src/control/publish.rs
+++ b/crates/gateway/src/control/publish.rs
@@ -223,7 +223,7 @@
     let published = context.published.load();
     let published = Published { targets: Arc::new(targets), ..Published::clone(&published) };
     context.published.store(Arc::new(published));
-    state.update_own(|own| OwnState { targets: count, ..own });
+    state.update_own(|own| OwnState { target_count: count, ..own });
     let mut given = state.given.borrow_mut();
     let gone: Vec<ServiceName> =
         given.keys().filter(|service| !by_service.contains_key(*service)).cloned().collect();
--- a/crates/gateway/src/control/reader.rs
+++ b/crates/gateway/src/control/reader.rs
@@ -46,9 +46,9 @@
     first_fill(&state).await;
     tokio::time::sleep(START_WAIT).await;
     loop {
-        let reads = state.fleet.borrow_mut().should_read(state.now());
-        state.update_own(|own| OwnState { reads, ..own });
-        if !reads && !state.fleet.borrow().sight.is_blind() {
+        let is_reader = state.fleet.borrow_mut().should_read(state.now());
+        state.update_own(|own| OwnState { is_reader, ..own });
+        if !is_reader && !state.fleet.borrow().platform.is_disconnected() {
             state.role_look.notified().await;
             continue;
         }
@@ -71,7 +71,7 @@
             Err(error) => {
                 platform_fails(&state, &error);
                 let jitter = rand::rng().random_range(0.5..1.0);
-                let pause = if reads { backoff } else { BLIND_PAUSE };
+                let pause = if is_reader { backoff } else { BLIND_PAUSE };
                 tokio::time::sleep(pause.mul_f64(jitter)).await;
                 backoff = (backoff * 2).min(BACKOFF_MAX);
             }
@@ -130,9 +130,9 @@
 
 /// A process that knows routes can serve.
 pub fn note_synced(state: &State) {
-    let synced = state.fleet.borrow().own_state().synced;
+    let synced = state.fleet.borrow().own_state().is_synced;
     if !synced && state.in_force.borrow().table().is_some() {
-        state.update_own(|own| OwnState { synced: true, ..own });
+        state.update_own(|own| OwnState { is_synced: true, ..own });
         state.ready.send_replace(true);
         name_entries(state);
     }
@@ -147,7 +147,7 @@
 }
 
 fn platform_fails(state: &State, error: &FeedError) {
-    let first = state.fleet.borrow_mut().sight.failed(state.context.clock.now());
+    let first = state.fleet.borrow_mut().platform.record_failure(state.context.clock.now());
     if first {
         event!(state.context.log, PLATFORM_LOST, "reason" => error.to_string());
         note_sight(state);
@@ -156,7 +156,7 @@
 }
 
 fn platform_answers(state: &State) {
-    let lost_at = state.fleet.borrow_mut().sight.answered();
+    let lost_at = state.fleet.borrow_mut().platform.record_answer();
     note_sight(state);
     if let Some(lost_at) = lost_at {
         let away = state.context.clock.now().since(lost_at);
@@ -169,7 +169,7 @@
 /// Takes into force whether the platform counts as away now.
 pub fn note_sight(state: &State) {
     let now = state.context.clock.now();
-    let away_since = state.fleet.borrow().sight.away_since(now);
+    let away_since = state.fleet.borrow().platform.outage_started_at(now);
     let before = state.away_since.replace(away_since);
     match (before, away_since) {
         (None, Some(_)) => state.roster.borrow_mut().platform_lost(),
--- a/crates/gateway/src/control/relay.rs
+++ b/crates/gateway/src/control/relay.rs
@@ -22,10 +22,10 @@
     }
     let reads = beliefs.readers.contains(&settings.vm);
     let near = beat.failure_domain == settings.failure_domain && !reads;
-    if near || own == Revision::NONE || beliefs.contacts.hears_readers && !reads {
+    if near || own == Revision::NONE || beliefs.contacts.monitors_readers && !reads {
         return true;
     }
-    state.catch_up.borrow_mut().far_knows(known, own, beliefs.spread_time(), state.now())
+    state.catch_up.borrow_mut().far_knows(known, own, beliefs.propagation_delay(), state.now())
 }
 
 /// Takes what another entry has told; how many items.
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -8,7 +8,7 @@
 use shallotfork_balance::SlotTarget;
 use shallotfork_evacuation::Evacuations;
 use shallotfork_feed::{Archive, CatchUp, Feed, Packer, Uplink};
-use shallotfork_fleet::{Beliefs, FleetMember, OwnState};
+use shallotfork_fleet::{FleetMember, FleetView, OwnState};
 use shallotfork_membership::{Announcement, ListedVm};
 use shallotfork_peer::Bundle;
 use shallotfork_roster::Roster;
@@ -56,7 +56,7 @@
     /// Since when the platform has counted as away; `None` while it does not.
     pub away_since: Cell<Option<Mono>>,
     /// The beliefs that callers are named entries by.
-    pub named_by: RefCell<Option<Rc<Beliefs>>>,
+    pub named_by: RefCell<Option<Rc<FleetView>>>,
     /// Signalled when this entry may have to begin or end reading the platform.
     pub role_look: Notify,
     /// The targets that each service's slots were given last.
@@ -78,8 +78,8 @@
     }
 
     /// What is believed of the fleet now.
-    pub fn beliefs(&self) -> Rc<Beliefs> {
-        self.fleet.borrow_mut().beliefs(self.now())
+    pub fn beliefs(&self) -> Rc<FleetView> {
+        self.fleet.borrow_mut().view(self.now())
     }
 
     /// Changes what this process knows of itself.
@@ -100,7 +100,7 @@
             callers: settings.ports.callers,
             peers: settings.ports.peers,
             leaving: false,
-            strength: settings.strength,
+            capacity: settings.strength,
         },
         incarnation: context.incarnation,
         round: 0,
--- a/crates/gateway/src/snapshot.rs
+++ b/crates/gateway/src/snapshot.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use shallotfork_evacuation::Evacuation;
-use shallotfork_fleet::ActiveEntry;
+use shallotfork_fleet::AdvertisedEntry;
 use shallotfork_roster::TargetEntry;
 use shallotfork_routes::RouteTable;
 use shallotfork_types::{FailureDomain, Mono, Permille, TargetId};
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Fleet {
     /// The entries that callers are sent to, best first.
-    pub named: Vec<ActiveEntry>,
+    pub named: Vec<AdvertisedEntry>,
     /// Whether callers are sent to this process.
     pub active: bool,
     /// Entries that are live as far as this process knows, itself included.
--- a/crates/gateway/src/traffic/directory.rs
+++ b/crates/gateway/src/traffic/directory.rs
@@ -5,7 +5,7 @@
 
 use http::StatusCode;
 use poem::IntoResponse;
-use shallotfork_fleet::entries_for;
+use shallotfork_fleet::endpoints_for_caller;
 
 use crate::context::Context;
 
@@ -25,7 +25,7 @@
     let fleet = context.fleet.load();
     let question = request.uri().query().unwrap_or_default();
     let domain = (context.dialect.caller_domain)(question);
-    let mut named = entries_for(&fleet.named, &context.settings.regions, domain.as_ref());
+    let mut named = endpoints_for_caller(&fleet.named, &context.settings.regions, domain.as_ref());
     if named.is_empty() {
         if !context.is_serving() {
             // Callers that keep an older answer do better with it.
--- a/crates/membership/src/entry_vm.rs
+++ b/crates/membership/src/entry_vm.rs
@@ -18,7 +18,7 @@
     /// Whether it is said to be leaving.
     pub leaving: bool,
     /// Requests that it could carry, by its own word; zero when it does not say.
-    pub strength: PerSecond,
+    pub capacity: PerSecond,
 }
 
 /// What a VM says of itself in a heartbeat, after it proved the peer key.
@@ -34,7 +34,7 @@
 
 /// What one VM tells another about a third.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct News {
+pub struct MemberUpdate {
     /// What the third VM announced last, as far as the teller knows.
     pub about: Announcement,
     /// Whether the teller, or somebody who told it, has missed its heartbeats.
@@ -78,5 +78,5 @@
     /// The belief.
     pub state: EntryState,
     /// Requests that it could carry, by its own word; zero when it does not say.
-    pub strength: PerSecond,
+    pub capacity: PerSecond,
 }
--- a/crates/membership/src/group.rs
+++ b/crates/membership/src/group.rs
@@ -9,11 +9,11 @@
 
 /// What is known of the caller who asks.
 #[derive(Debug, Clone)]
-pub struct Preference {
+pub struct CallerPreference {
     /// Where the caller stands, when it says so.
     pub failure_domain: Option<FailureDomain>,
     /// Rotates the order, so that callers who ask one after another spread over the group.
-    pub turn: u64,
+    pub rotation: u64,
 }
 
 /// The group of entries that serves a service, chosen among those that may be named in answers.
@@ -27,20 +27,20 @@
     service: &ServiceName,
     entries: &[EntryVm],
     size: GroupSize,
-    preference: &Preference,
+    preference: &CallerPreference,
 ) -> Vec<EntryVm> {
     let group = service_group(service, entries, size);
     let members: Vec<EntryVm> =
         nameable(entries).filter(|entry| group.contains(&entry.vm)).cloned().collect();
-    in_order(&members, preference)
+    rank_for_caller(&members, preference)
 }
 
 /// The members of a group in the order in which one caller should try them.
 ///
 /// Members near the caller come first; within the same distance the turn decides.
-pub fn in_order(members: &[EntryVm], preference: &Preference) -> Vec<EntryVm> {
+pub fn rank_for_caller(members: &[EntryVm], preference: &CallerPreference) -> Vec<EntryVm> {
     let mut members = members.to_vec();
-    rotate(&mut members, preference.turn);
+    rotate(&mut members, preference.rotation);
     let near = |entry: &EntryVm| preference.failure_domain.as_ref() == Some(&entry.failure_domain);
     members.sort_by_key(|entry| Reverse(near(entry)));
     members
@@ -60,10 +60,10 @@
     GroupEntry { vm: entry.vm.clone(), failure_domain: entry.failure_domain.clone() }
 }
 
-fn rotate(members: &mut [EntryVm], turn: u64) {
+fn rotate(members: &mut [EntryVm], rotation: u64) {
     if members.is_empty() {
         return;
     }
-    let steps = turn % members.len() as u64;
+    let steps = rotation % members.len() as u64;
     members.rotate_left(usize::try_from(steps).unwrap_or(0));
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -12,8 +12,8 @@
 mod view;
 mod view_config;
 
-pub use entry_vm::{Announcement, EntryState, EntryVm, ListedVm, News};
-pub use group::{Preference, entries_for, in_order, service_group};
+pub use entry_vm::{Announcement, EntryState, EntryVm, ListedVm, MemberUpdate};
+pub use group::{CallerPreference, entries_for, rank_for_caller, service_group};
 pub use heartbeats::heartbeat_peers;
-pub use view::View;
+pub use view::MembershipView;
 pub use view_config::ViewConfig;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -5,7 +5,7 @@
 use shallotfork_types::{Incarnation, Mono};
 
 use crate::leniency::Leniency;
-use crate::{Announcement, EntryState, EntryVm, ListedVm, News};
+use crate::{Announcement, EntryState, EntryVm, ListedVm, MemberUpdate};
 
 #[derive(Debug)]
 pub(crate) struct Member {
@@ -55,7 +55,7 @@
     }
 
     /// Starts to expect heartbeats from now on.
-    pub(crate) fn watch(&mut self, now: Mono) {
+    pub(crate) fn monitor(&mut self, now: Mono) {
         if !self.watched {
             self.watched = true;
             self.quiet_since = now;
@@ -67,7 +67,12 @@
     }
 
     /// Takes direct evidence; returns whether it counted.
-    pub(crate) fn heard(&mut self, from: &Announcement, fresh: Duration, now: Mono) -> bool {
+    pub(crate) fn receive_heartbeat(
+        &mut self,
+        from: &Announcement,
+        fresh: Duration,
+        now: Mono,
+    ) -> bool {
         if !self.may_become(from.incarnation, fresh, now) {
             return false;
         }
@@ -82,7 +87,12 @@
     }
 
     /// Takes hearsay; returns whether it changed the belief.
-    pub(crate) fn told(&mut self, news: &News, fresh: Duration, now: Mono) -> bool {
+    pub(crate) fn receive_update(
+        &mut self,
+        news: &MemberUpdate,
+        fresh: Duration,
+        now: Mono,
+    ) -> bool {
         let about = &news.about;
         let heard_lately = self.watched && now.since(self.quiet_since) <= fresh;
         let before = self.belief();
@@ -122,7 +132,7 @@
     /// Hundreds of VMs start anew. Some remember their earlier runs as dead, others know the new ones;
     /// were either to believe whatever it is told last, they would convince each other in turn, and
     /// the fleet would go on sending callers to ever different entries long after the start.
-    fn is_news_of_another_run(&self, news: &News) -> bool {
+    fn is_news_of_another_run(&self, news: &MemberUpdate) -> bool {
         let dead = |suspected: bool, leaving: bool| suspected || leaving;
         let is_later = self.incarnation.is_none_or(|known| news.about.incarnation > known);
         let known_is_dead = dead(self.suspected, self.said_leaving);
@@ -170,7 +180,7 @@
         self.leniency.proved_alive(now);
     }
 
-    pub(crate) fn resumed(&mut self, now: Mono) {
+    pub(crate) fn handle_resume(&mut self, now: Mono) {
         self.quiet_since = now;
     }
 
@@ -193,22 +203,22 @@
             peers: self.listed.peers,
             incarnation: self.incarnation,
             state: self.state(),
-            strength: self.listed.strength,
+            capacity: self.listed.capacity,
         }
     }
 
     /// News about this VM; `None` when no run of it was ever heard of.
-    pub(crate) fn news(&self) -> Option<News> {
+    pub(crate) fn news(&self) -> Option<MemberUpdate> {
         let listed = ListedVm { leaving: self.said_leaving, ..self.listed.clone() };
         let incarnation = self.incarnation?;
         let about = Announcement { listed, incarnation, round: self.round };
-        Some(News { about, suspected: self.suspected })
+        Some(MemberUpdate { about, suspected: self.suspected })
     }
 
     /// The suspicion that its VM still has to refute, as news for it.
-    pub(crate) fn unrefuted_suspicion(&self) -> Option<News> {
+    pub(crate) fn unrefuted_suspicion(&self) -> Option<MemberUpdate> {
         let round = self.unrefuted_round?;
         let news = self.news()?;
-        Some(News { about: Announcement { round, ..news.about }, suspected: true })
+        Some(MemberUpdate { about: Announcement { round, ..news.about }, suspected: true })
     }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -6,7 +6,7 @@
 use shallotfork_types::{Incarnation, Mono, Revision, VmId};
 
 use crate::member::Member;
-use crate::{Announcement, EntryState, EntryVm, ListedVm, News, ViewConfig};
+use crate::{Announcement, EntryState, EntryVm, ListedVm, MemberUpdate, ViewConfig};
 
 /// Joins the platform's list with direct evidence and with news from other entries.
 ///
@@ -14,7 +14,7 @@
 /// Of the others this process hears through news, which each entry passes on in a bounded number
 /// of heartbeats; a VM that hears of a suspicion against itself refutes it by a higher round.
 #[derive(Debug)]
-pub struct View {
+pub struct MembershipView {
     config: ViewConfig,
     own: VmId,
     revision: Revision,
@@ -31,7 +31,7 @@
     heard_again: bool,
 }
 
-impl View {
+impl MembershipView {
     /// A view that knows only the own VM.
     pub fn new(config: ViewConfig, own: &Announcement, now: Mono) -> Self {
         let vm = own.listed.vm.clone();
@@ -104,21 +104,21 @@
     }
 
     /// Expects heartbeats of these VMs from now on, and of no others.
-    pub fn watch(&mut self, watched: &BTreeSet<VmId>, now: Mono) {
+    pub fn monitor(&mut self, watched: &BTreeSet<VmId>, now: Mono) {
         for (vm, member) in &mut self.members {
-            if watched.contains(vm) { member.watch(now) } else { member.unwatch() }
+            if watched.contains(vm) { member.monitor(now) } else { member.unwatch() }
         }
     }
 
     /// Takes a heartbeat; returns whether it counted.
-    pub fn heard(&mut self, from: &Announcement, now: Mono) -> bool {
+    pub fn receive_heartbeat(&mut self, from: &Announcement, now: Mono) -> bool {
         if from.listed.vm == self.own {
             return false;
         }
         let fresh = self.config.evidence_for;
         let member = self.member(&from.listed, now);
         let (before, round_before) = (member.entry(), member.round);
-        let counted = member.heard(from, fresh, now);
+        let counted = member.receive_heartbeat(from, fresh, now);
         let (after, round) = (member.entry(), member.round);
         // A higher round refutes a suspicion that others may hold.
         if before != after || round_before != round {
@@ -131,7 +131,7 @@
     }
 
     /// Takes what another entry tells about a third one, or about this one.
-    pub fn told(&mut self, news: &News, now: Mono) {
+    pub fn receive_update(&mut self, news: &MemberUpdate, now: Mono) {
         let vm = news.about.listed.vm.clone();
         if vm == self.own {
             self.refute(news);
@@ -142,7 +142,7 @@
             return;
         }
         let fresh = self.config.evidence_for;
-        let changed = self.member(&news.about.listed, now).told(news, fresh, now);
+        let changed = self.member(&news.about.listed, now).receive_update(news, fresh, now);
         if changed || !known {
             self.changed(&vm, self.relays);
         }
@@ -162,7 +162,7 @@
 
     /// A process that was paused, or cut off, hears that it is suspected: a higher round says that
     /// it is back, also to those who do not exchange heartbeats with it.
-    fn refute(&mut self, news: &News) {
+    fn refute(&mut self, news: &MemberUpdate) {
         let own = self.own.clone();
         let Some(member) = self.members.get_mut(&own) else { return };
         let same_run = member.incarnation == Some(news.about.incarnation);
@@ -176,7 +176,7 @@
     ///
     /// Whoever hears it knows that it lives; all others go by the suspicion until it is refuted. They do
     /// not speak to a VM that they suspect, so that nobody else would tell it.
-    pub fn suspicion_of(&self, vm: &VmId) -> Option<News> {
+    pub fn suspicion_of(&self, vm: &VmId) -> Option<MemberUpdate> {
         self.members.get(vm)?.unrefuted_suspicion()
     }
 
@@ -198,9 +198,9 @@
     ///
     /// After this process was paused, all others look silent although only its own clock ran on.
     /// Without this a resumed process would suspect the whole fleet at once.
-    pub fn resumed(&mut self, now: Mono) {
+    pub fn handle_resume(&mut self, now: Mono) {
         for member in self.members.values_mut() {
-            member.resumed(now);
+            member.handle_resume(now);
         }
         self.raise_own_round();
     }
@@ -249,7 +249,7 @@
     }
 
     /// News for the next heartbeat; what was sent least often goes first.
-    pub fn news(&mut self) -> Vec<News> {
+    pub fn take_due_updates(&mut self) -> Vec<MemberUpdate> {
         let members = &self.members;
         let (passed_on, own) = (&self.passed_on, &self.own);
         self.spreading.retain(|vm, _| {
@@ -269,7 +269,7 @@
 
     /// News of every VM whose news is passed on, as far as it changed after a
     /// [`version`](Self::version); after version 0, for one that has just joined, all of it.
-    pub fn news_since(&self, version: u64) -> Vec<News> {
+    pub fn news_since(&self, version: u64) -> Vec<MemberUpdate> {
         let members = self.members.values();
         let passed_on = members.filter(|m| is_passed_on(&self.passed_on, &self.own, m));
         passed_on.filter(|m| m.changed_at > version).filter_map(Member::news).collect()
@@ -281,7 +281,7 @@
     }
 
     /// When a VM was heard last; the clock's zero when it is not known.
-    pub fn heard_at(&self, vm: &VmId) -> Mono {
+    pub fn last_seen_at(&self, vm: &VmId) -> Mono {
         self.members.get(vm).map_or(Mono::ZERO, |member| member.quiet_since)
     }
 
--- a/crates/membership/tests/news.rs
+++ b/crates/membership/tests/news.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use shallotfork_membership::{
-    Announcement, EntryState, ListedVm, News, View, ViewConfig, heartbeat_peers,
+    Announcement, EntryState, ListedVm, MemberUpdate, MembershipView, ViewConfig, heartbeat_peers,
 };
 use shallotfork_types::{Incarnation, Mono, PerSecond, Revision, VmId};
 
@@ -15,7 +15,7 @@
 
 /// A fleet whose heartbeats are delivered at once, except to and from silent VMs.
 struct Fleet {
-    views: Vec<View>,
+    views: Vec<MembershipView>,
     now: Mono,
     silent: BTreeSet<usize>,
     /// Whether the first failure domain is cut off from the others.
@@ -30,7 +30,7 @@
         callers: format!("127.0.0.1:{port}").parse().unwrap(),
         peers: format!("127.0.0.2:{port}").parse().unwrap(),
         leaving: false,
-        strength: PerSecond::default(),
+        capacity: PerSecond::default(),
     }
 }
 
@@ -39,7 +39,7 @@
         let list: Vec<ListedVm> = (0..size).map(listed).collect();
         let view = |index: usize| {
             let own = announcement(index, false, 0);
-            let mut view = View::new(ViewConfig::default(), &own, Mono::ZERO);
+            let mut view = MembershipView::new(ViewConfig::default(), &own, Mono::ZERO);
             view.set_published(Revision::new(1), &list, Mono::ZERO);
             view
         };
@@ -67,7 +67,7 @@
         let own = listed(from).vm;
         let peers = heartbeat_peers(&own, &self.views[from].entries(), PEERS);
         let watched = peers.iter().map(|peer| peer.vm.clone()).collect();
-        self.views[from].watch(&watched, self.now);
+        self.views[from].monitor(&watched, self.now);
         self.views[from].expire(self.now);
         for peer in peers {
             let to: usize = peer.vm.as_str()[3..].parse().unwrap();
@@ -82,10 +82,10 @@
         for (speaker, hearer) in [(from, to), (to, from)] {
             let leaving = self.believes(speaker, speaker) == EntryState::Leaving;
             let round = self.views[speaker].own_round();
-            let news = self.views[speaker].news();
-            self.views[hearer].heard(&announcement(speaker, leaving, round), self.now);
+            let news = self.views[speaker].take_due_updates();
+            self.views[hearer].receive_heartbeat(&announcement(speaker, leaving, round), self.now);
             for piece in news {
-                self.views[hearer].told(&piece, self.now);
+                self.views[hearer].receive_update(&piece, self.now);
             }
         }
     }
@@ -138,7 +138,7 @@
 fn a_resumed_vm_is_soon_believed_live_by_all() {
     let mut fleet = Fleet::new(60).with_periods(10).with_silent(7).with_periods(20);
     fleet.silent.clear();
-    fleet.views[7].resumed(fleet.now);
+    fleet.views[7].handle_resume(fleet.now);
     let fleet = fleet.with_periods(12);
     assert_eq!(60, fleet.believers(7, EntryState::Live));
 }
@@ -150,11 +150,13 @@
     let mut fleet = Fleet::new(60);
     let list: Vec<ListedVm> = (0..59).map(listed).collect();
     for (index, view) in fleet.views.iter_mut().enumerate() {
-        *view = View::new(ViewConfig::default(), &announcement(index, false, 0), Mono::ZERO);
+        *view =
+            MembershipView::new(ViewConfig::default(), &announcement(index, false, 0), Mono::ZERO);
         view.set_published(Revision::new(1), &list, Mono::ZERO);
     }
     let fleet = fleet.with_periods(8);
-    let knows = |view: &View| view.entries().iter().any(|entry| entry.vm == listed(59).vm);
+    let knows =
+        |view: &MembershipView| view.entries().iter().any(|entry| entry.vm == listed(59).vm);
     assert!(fleet.views.iter().all(knows));
 }
 
@@ -177,18 +179,19 @@
 /// filled the links for seconds and left the few strong VMs no time to find each other.
 #[test]
 fn only_news_of_those_who_come_first_is_passed_on() {
-    let mut view = View::new(ViewConfig::default(), &announcement(0, false, 0), Mono::ZERO);
+    let mut view =
+        MembershipView::new(ViewConfig::default(), &announcement(0, false, 0), Mono::ZERO);
     view.set_passed_on(BTreeSet::from([listed(1).vm]));
     for index in 1..=3 {
-        view.heard(&announcement(index, false, 0), Mono::ZERO);
+        view.receive_heartbeat(&announcement(index, false, 0), Mono::ZERO);
     }
-    let names = |news: Vec<News>| -> Vec<VmId> {
+    let names = |news: Vec<MemberUpdate>| -> Vec<VmId> {
         news.into_iter().map(|news| news.about.listed.vm).collect()
     };
-    assert_eq!(names(view.news()), [listed(1).vm]);
+    assert_eq!(names(view.take_due_updates()), [listed(1).vm]);
     assert_eq!(names(view.news_since(0)), [listed(1).vm]);
     let version = view.version();
-    view.heard(&announcement(3, true, 0), Mono::ZERO);
+    view.receive_heartbeat(&announcement(3, true, 0), Mono::ZERO);
     assert_eq!(names(view.news_since(version)), [listed(3).vm], "the end of one that was known");
 }
 
@@ -196,23 +199,31 @@
 /// they have just told it.
 #[test]
 fn who_is_called_by_nobody_passes_on_its_own_news_only() {
-    let mut view = View::new(ViewConfig::default(), &announcement(0, false, 0), Mono::ZERO);
+    let mut view =
+        MembershipView::new(ViewConfig::default(), &announcement(0, false, 0), Mono::ZERO);
     view.set_relays(false);
     let about = announcement(1, false, 0);
-    view.told(&News { about, suspected: false }, Mono::ZERO);
-    assert!(view.news().is_empty());
+    view.receive_update(&MemberUpdate { about, suspected: false }, Mono::ZERO);
+    assert!(view.take_due_updates().is_empty());
     view.leave();
-    assert_eq!(view.news().len(), 1);
+    assert_eq!(view.take_due_updates().len(), 1);
 }
 
 /// The last that was heard of a VM is its end, and it was forgotten since. Taken in again, it would be
 /// passed on for ever.
 #[test]
 fn the_end_of_a_vm_that_is_not_known_is_no_news() {
-    let mut view = View::new(ViewConfig::default(), &announcement(0, false, 0), Mono::ZERO);
+    let mut view =
+        MembershipView::new(ViewConfig::default(), &announcement(0, false, 0), Mono::ZERO);
     let version = view.version();
-    view.told(&News { about: announcement(1, false, 0), suspected: true }, Mono::ZERO);
-    view.told(&News { about: announcement(2, true, 0), suspected: false }, Mono::ZERO);
+    view.receive_update(
+        &MemberUpdate { about: announcement(1, false, 0), suspected: true },
+        Mono::ZERO,
+    );
+    view.receive_update(
+        &MemberUpdate { about: announcement(2, true, 0), suspected: false },
+        Mono::ZERO,
+    );
     assert_eq!((view.entries().len(), view.version()), (1, version));
 }
 
@@ -220,11 +231,12 @@
 /// nothing new must not change it, or each would cost a small VM a sort of all members.
 #[test]
 fn the_version_changes_with_the_beliefs_only() {
-    let mut view = View::new(ViewConfig::default(), &announcement(0, false, 0), Mono::ZERO);
-    view.heard(&announcement(1, false, 0), Mono::ZERO);
+    let mut view =
+        MembershipView::new(ViewConfig::default(), &announcement(0, false, 0), Mono::ZERO);
+    view.receive_heartbeat(&announcement(1, false, 0), Mono::ZERO);
     let (version, entries) = (view.version(), view.entries());
-    view.heard(&announcement(1, false, 0), Mono::from_millis(100));
-    view.watch(&BTreeSet::from([listed(1).vm]), Mono::from_millis(100));
+    view.receive_heartbeat(&announcement(1, false, 0), Mono::from_millis(100));
+    view.monitor(&BTreeSet::from([listed(1).vm]), Mono::from_millis(100));
     view.expire(Mono::from_millis(200));
     assert_eq!((view.version(), view.entries()), (version, entries.clone()));
     view.expire(Mono::from_millis(9_000));
@@ -239,11 +251,12 @@
     let news = |run: u64, suspected: bool| {
         let about =
             Announcement { incarnation: Incarnation::new(run), ..announcement(1, false, 0) };
-        News { about, suspected }
+        MemberUpdate { about, suspected }
     };
-    let state_after = |words: &[News]| -> (EntryState, Option<Incarnation>) {
-        let mut view = View::new(ViewConfig::default(), &announcement(0, false, 0), Mono::ZERO);
-        words.iter().for_each(|word| view.told(word, Mono::from_millis(60_000)));
+    let state_after = |words: &[MemberUpdate]| -> (EntryState, Option<Incarnation>) {
+        let mut view =
+            MembershipView::new(ViewConfig::default(), &announcement(0, false, 0), Mono::ZERO);
+        words.iter().for_each(|word| view.receive_update(word, Mono::from_millis(60_000)));
         let entry = view.entries().into_iter().find(|entry| entry.vm == listed(1).vm).unwrap();
         (entry.state, entry.incarnation)
     };
@@ -260,9 +273,10 @@
 /// since it calls others itself: then it is not suspected.
 #[test]
 fn who_answers_no_call_is_suspected_unless_it_was_heard() {
-    let mut view = View::new(ViewConfig::default(), &announcement(0, false, 0), Mono::ZERO);
-    view.heard(&announcement(1, false, 0), Mono::ZERO);
-    view.watch(&BTreeSet::from([listed(1).vm]), Mono::ZERO);
+    let mut view =
+        MembershipView::new(ViewConfig::default(), &announcement(0, false, 0), Mono::ZERO);
+    view.receive_heartbeat(&announcement(1, false, 0), Mono::ZERO);
+    view.monitor(&BTreeSet::from([listed(1).vm]), Mono::ZERO);
     view.suspect(&listed(1).vm, Mono::from_millis(1_000));
     assert_eq!(view.entries()[1].state, EntryState::Live);
     view.suspect(&listed(1).vm, Mono::from_millis(3_000));
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -8,7 +8,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use shallotfork_balance::GroupSize;
 use shallotfork_membership::{
-    Announcement, EntryState, ListedVm, Preference, View, ViewConfig, entries_for,
+    Announcement, CallerPreference, EntryState, ListedVm, MembershipView, ViewConfig, entries_for,
 };
 use shallotfork_types::{Incarnation, Mono, PerSecond, Revision, ServiceName, VmId};
 
@@ -27,7 +27,7 @@
         callers: format!("127.0.0.1:{port}").parse().unwrap(),
         peers: format!("127.0.0.1:{}", port + 1000).parse().unwrap(),
         leaving: false,
-        strength: PerSecond::default(),
+        capacity: PerSecond::default(),
     }
 }
 
@@ -38,13 +38,13 @@
 
 /// Sets up a view of VM 0 in a chain of events, one second apart.
 struct Case {
-    view: View,
+    view: MembershipView,
     now: Mono,
 }
 
 impl Case {
     fn new() -> Self {
-        let view = View::new(ViewConfig::default(), &says(0, 100, false), Mono::ZERO);
+        let view = MembershipView::new(ViewConfig::default(), &says(0, 100, false), Mono::ZERO);
         Self { view, now: Mono::ZERO }
     }
 
@@ -56,12 +56,12 @@
 
     fn watching_all(mut self) -> Self {
         let all: BTreeSet<VmId> = self.view.entries().into_iter().map(|entry| entry.vm).collect();
-        self.view.watch(&all, self.now);
+        self.view.monitor(&all, self.now);
         self
     }
 
     fn with_heartbeat(mut self, number: u8, incarnation: u64, leaving: bool) -> Self {
-        self.view.heard(&says(number, incarnation, leaving), self.now);
+        self.view.receive_heartbeat(&says(number, incarnation, leaving), self.now);
         self
     }
 
@@ -121,7 +121,7 @@
 fn a_resumed_process_does_not_suspect_everyone() {
     let mut case = Case::new().with_list(1, &[0, 1, 2]);
     case.now = case.now.plus(Duration::from_secs(60));
-    case.view.resumed(case.now);
+    case.view.handle_resume(case.now);
     case.view.expire(case.now);
     assert_eq!(Some(EntryState::Live), case.state(1));
 }
@@ -163,10 +163,10 @@
 /// An answer to a caller names a VM that is leaving, or names nobody although one is there.
 #[test]
 fn answers_never_name_leaving_vms_and_are_never_empty() {
-    fn property(events: Events, turn: u64) -> bool {
+    fn property(events: Events, rotation: u64) -> bool {
         let case = run(&events);
         let entries = case.view.entries();
-        let preference = Preference { failure_domain: None, turn };
+        let preference = CallerPreference { failure_domain: None, rotation };
         let service: ServiceName = "orders".parse().unwrap();
         let group = entries_for(&service, &entries, GroupSize::new(GROUP_SIZE), &preference);
         let leaving = group.iter().any(|entry| entry.state == EntryState::Leaving);
@@ -183,9 +183,9 @@
     let case = Case::new().with_list(1, &[0, 1, 2, 3, 4, 5, 6, 7, 8]);
     let entries = case.view.entries();
     let service: ServiceName = "orders".parse().unwrap();
-    for turn in 0..4 {
+    for rotation in 0..4 {
         let near = "fd-2".parse().unwrap();
-        let preference = Preference { failure_domain: Some(near), turn };
+        let preference = CallerPreference { failure_domain: Some(near), rotation };
         let group = entries_for(&service, &entries, GroupSize::new(GROUP_SIZE), &preference);
         let domains: BTreeSet<&str> =
             group.iter().map(|entry| entry.failure_domain.as_str()).collect();
@@ -200,7 +200,7 @@
 fn losing_a_vm_changes_only_the_groups_it_was_in() {
     let all = Case::new().with_list(1, &[0, 1, 2, 3, 4, 5, 6, 7, 8]);
     let fewer = Case::new().with_list(1, &[0, 1, 2, 3, 4, 5, 6, 7]);
-    let preference = Preference { failure_domain: None, turn: 0 };
+    let preference = CallerPreference { failure_domain: None, rotation: 0 };
     for number in 0..200 {
         let service: ServiceName = format!("service-{number}").parse().unwrap();
         let names = |case: &Case| {
@@ -224,12 +224,12 @@
 #[test]
 fn a_vm_that_was_suspected_wrongly_may_be_silent_for_longer() {
     let config = ViewConfig { suspect_after: Duration::from_millis(500), ..ViewConfig::default() };
-    let mut view = View::new(config, &says(0, 100, false), Mono::ZERO);
+    let mut view = MembershipView::new(config, &says(0, 100, false), Mono::ZERO);
     let mut now = Mono::ZERO;
     let mut silences = Vec::new();
     for _ in 0..4 {
-        view.heard(&says(1, 7, false), now);
-        view.watch(&BTreeSet::from([vm(1)]), now);
+        view.receive_heartbeat(&says(1, 7, false), now);
+        view.monitor(&BTreeSet::from([vm(1)]), now);
         let begun = now;
         while view.entries().iter().all(|entry| entry.state != EntryState::Suspected) {
             now = now.plus(Duration::from_millis(10));
@@ -259,10 +259,10 @@
     case = case.with_heartbeat(1, 7, false);
     let news = case.view.suspicion_of(&vm(1)).unwrap();
     assert!(news.suspected);
-    let mut suspected = View::new(ViewConfig::default(), &says(1, 7, false), Mono::ZERO);
-    suspected.told(&news, Mono::ZERO);
+    let mut suspected = MembershipView::new(ViewConfig::default(), &says(1, 7, false), Mono::ZERO);
+    suspected.receive_update(&news, Mono::ZERO);
     assert_eq!(suspected.own_round(), news.about.round + 1);
     let refuted = Announcement { round: suspected.own_round(), ..says(1, 7, false) };
-    case.view.heard(&refuted, case.now);
+    case.view.receive_heartbeat(&refuted, case.now);
     assert_eq!(case.view.suspicion_of(&vm(1)), None);
 }
--- a/crates/shallotd/src/control/lists_take.rs
+++ b/crates/shallotd/src/control/lists_take.rs
@@ -58,7 +58,7 @@
             callers: vm.callers,
             peers: vm.peers,
             leaving: vm.state == VmState::Leaving,
-            strength: PerSecond::default(),
+            capacity: PerSecond::default(),
         })
         .collect();
     state.view.borrow_mut().set_published(*revision, &listed, state.context.clock.now());
--- a/crates/shallotd/src/control/members.rs
+++ b/crates/shallotd/src/control/members.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use shallotfork_events::{PEER_DOWN, PEER_UP, event};
-use shallotfork_membership::{Announcement, EntryState, EntryVm, ListedVm, News, heartbeat_peers};
+use shallotfork_membership::{
+    Announcement, EntryState, EntryVm, ListedVm, MemberUpdate, heartbeat_peers,
+};
 use shallotfork_peer::{Heartbeat, PeerId, PeerNews, PeerState, PlatformWord};
 use shallotfork_timer::{Schedule, TimerService};
 use shallotfork_types::PerSecond;
@@ -30,11 +32,11 @@
     let mut subscription = timer.subscribe(schedule);
     while let Some(tick) = subscription.tick().await {
         if tick.late > period * PAUSED_HEARTBEATS {
-            state.view.borrow_mut().resumed(tick.now);
+            state.view.borrow_mut().handle_resume(tick.now);
         }
         let chosen = chosen(&state);
         let watched = chosen.iter().map(|entry| entry.vm.clone()).collect();
-        state.view.borrow_mut().watch(&watched, tick.now);
+        state.view.borrow_mut().monitor(&watched, tick.now);
         state.view.borrow_mut().expire(tick.now);
         state.ledger.borrow_mut().expire(tick.now);
         for entry in chosen.into_iter().filter(|entry| is_due(&state, entry, period)) {
@@ -64,7 +66,7 @@
 
 /// An exchange informs both sides, so of two that chose each other only the first to wake speaks.
 fn is_due(state: &State, entry: &EntryVm, period: Duration) -> bool {
-    let heard_at = state.view.borrow().heard_at(&entry.vm);
+    let heard_at = state.view.borrow().last_seen_at(&entry.vm);
     let unheard = entry.incarnation.is_none() || entry.state == EntryState::Suspected;
     unheard || state.context.clock.now().since(heard_at) >= period * 3 / 4
 }
@@ -114,7 +116,7 @@
         callers: identity.callers,
         peers: identity.peers,
         round: view.own_round(),
-        news: view.news().into_iter().map(peer_news).collect(),
+        news: view.take_due_updates().into_iter().map(peer_news).collect(),
         seen_revision: lists.cursor.highest(),
         synced_revision: lists.cursor.complete(),
         lists_digest: lists.digest(),
@@ -153,7 +155,7 @@
 }
 
 /// News as it is carried to other entries.
-pub fn peer_news(news: News) -> PeerNews {
+pub fn peer_news(news: MemberUpdate) -> PeerNews {
     let Announcement { listed, incarnation, round } = news.about;
     PeerNews {
         state: peer_state(listed.leaving),
@@ -163,22 +165,22 @@
         failure_domain: listed.failure_domain,
         callers: listed.callers,
         peers: listed.peers,
-        strength: listed.strength,
+        strength: listed.capacity,
     }
 }
 
-fn news(told: &PeerNews) -> News {
+fn news(told: &PeerNews) -> MemberUpdate {
     let listed = ListedVm {
         vm: told.about.vm.clone(),
         failure_domain: told.failure_domain.clone(),
         callers: told.callers,
         peers: told.peers,
         leaving: told.state == PeerState::Leaving,
-        strength: told.strength,
+        capacity: told.strength,
     };
     let incarnation = told.about.incarnation;
     let about = Announcement { listed, incarnation, round: told.round };
-    News { about, suspected: told.suspected }
+    MemberUpdate { about, suspected: told.suspected }
 }
 
 /// Takes what a peer says of itself.
@@ -196,14 +198,14 @@
         callers: beat.callers,
         peers: beat.peers,
         leaving: beat.state == PeerState::Leaving,
-        strength: beat.strength,
+        capacity: beat.strength,
     };
     let from = Announcement { listed, incarnation: peer.incarnation, round: beat.round };
     let now = state.context.clock.now();
     let mut view = state.view.borrow_mut();
-    view.heard(&from, now);
+    view.receive_heartbeat(&from, now);
     for told in &beat.news {
-        view.told(&news(told), now);
+        view.receive_update(&news(told), now);
     }
     drop(view);
     publish_if_changed(state);
--- a/crates/shallotd/src/control/state.rs
+++ b/crates/shallotd/src/control/state.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use shallotfork_measure::ProbePlan;
-use shallotfork_membership::View;
+use shallotfork_membership::MembershipView;
 use shallotfork_platform::Platform;
 use shallotfork_revisions::PullGate;
 use shallotfork_types::{ServiceName, VmId};
@@ -36,7 +36,7 @@
     /// Published lists in force.
     pub lists: RefCell<Lists>,
     /// Which entries are alive.
-    pub view: RefCell<View>,
+    pub view: RefCell<MembershipView>,
     /// Sessions issued here, and sealed ledgers of others.
     pub ledger: RefCell<Ledger>,
     /// Connections to other entries.
--- a/crates/shallotd/src/control/thread.rs
+++ b/crates/shallotd/src/control/thread.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use anyhow::{Context as _, Result};
-use shallotfork_membership::{Announcement, ListedVm, View, ViewConfig};
+use shallotfork_membership::{Announcement, ListedVm, MembershipView, ViewConfig};
 use shallotfork_once::{Issuer, OnceConfig, Secret};
 use shallotfork_peer::{PeerConfig, PeerId, PeerKey, PeerServer};
 use shallotfork_platform::{HttpPlatform, HttpPlatformConfig, Platform};
@@ -105,7 +105,7 @@
     let ledger = Ledger::new(issuer, own_id(&context), once);
     let view_config =
         ViewConfig { suspect_after: context.settings.peers.suspect_after, ..ViewConfig::default() };
-    let view = View::new(view_config, &announcement(&context), context.clock.now());
+    let view = MembershipView::new(view_config, &announcement(&context), context.clock.now());
     let peers = Peers::new(key, own_id(&context), peer_config(&context));
     State {
         platform,
@@ -138,7 +138,7 @@
         callers: identity.callers,
         peers: identity.peers,
         leaving: false,
-        strength: PerSecond::default(),
+        capacity: PerSecond::default(),
     };
     Announcement { listed, incarnation: identity.incarnation, round: 0 }
 }
--- a/crates/shallotd/src/traffic/entries.rs
+++ b/crates/shallotd/src/traffic/entries.rs
@@ -6,7 +6,7 @@
 use poem::{IntoResponse, Request, Response, web::Json};
 use serde::{Deserialize, Serialize};
 use shallotfork_exchange::Problem;
-use shallotfork_membership::{EntryVm, Preference, in_order};
+use shallotfork_membership::{CallerPreference, EntryVm, rank_for_caller};
 use shallotfork_types::{Endpoint, FailureDomain, ServiceName, Verdict, VmId};
 
 use crate::context::Context;
@@ -69,9 +69,11 @@
     let Some(service) = snapshot.services.get(&query.service) else {
         return refuse(StatusCode::NOT_FOUND, "no such service is published");
     };
-    let preference =
-        Preference { failure_domain: query.failure_domain, turn: Context::next(&context.turns) };
-    let found = in_order(&service.group, &preference);
+    let preference = CallerPreference {
+        failure_domain: query.failure_domain,
+        rotation: Context::next(&context.turns),
+    };
+    let found = rank_for_caller(&service.group, &preference);
     let session = context.control.issue().await;
     let callers = &context.settings.callers;
     let answer = Answer {
--- a/crates/slopes/src/members.rs
+++ b/crates/slopes/src/members.rs
@@ -5,7 +5,8 @@
 use anyhow::Result;
 use shallotfork_balance::GroupSize;
 use shallotfork_membership::{
-    Announcement, ListedVm, Preference, View, ViewConfig, entries_for, service_group,
+    Announcement, CallerPreference, ListedVm, MembershipView, ViewConfig, entries_for,
+    service_group,
 };
 use shallotfork_types::{Incarnation, Mono, PerSecond, Revision, ServiceName, TargetId};
 
@@ -22,7 +23,7 @@
         callers: format!("10.0.0.1:{port}").parse()?,
         peers: format!("10.0.0.2:{port}").parse()?,
         leaving: false,
-        strength: PerSecond::default(),
+        capacity: PerSecond::default(),
     };
     Ok(Announcement { listed, incarnation: Incarnation::new(index as u64), round: 0 })
 }
@@ -38,17 +39,17 @@
     for count in [14, 140] {
         let fleet: Vec<Announcement> = (0..count).map(announcement).collect::<Result<_>>()?;
         let listed: Vec<ListedVm> = fleet.iter().map(|vm| vm.listed.clone()).collect();
-        let mut view = View::new(ViewConfig::default(), &fleet[0], Mono::ZERO);
+        let mut view = MembershipView::new(ViewConfig::default(), &fleet[0], Mono::ZERO);
         view.set_published(Revision::new(1), &listed, Mono::ZERO);
-        view.watch(&BTreeSet::new(), Mono::ZERO);
-        time("take a heartbeat", count, || view.heard(&fleet[1], Mono::ZERO));
+        view.monitor(&BTreeSet::new(), Mono::ZERO);
+        time("take a heartbeat", count, || view.receive_heartbeat(&fleet[1], Mono::ZERO));
         time("list the entries", count, || view.entries());
         let entries = view.entries();
         let own = &fleet[0].listed.vm;
         time("group of a service and its home targets", count, || {
             service_group(&service, &entries, GroupSize::new(GROUP)).home_targets(own, &targets)
         });
-        let preference = Preference { failure_domain: None, turn: 3 };
+        let preference = CallerPreference { failure_domain: None, rotation: 3 };
         time("entries for a caller", count, || {
             entries_for(&service, &entries, GroupSize::new(GROUP), &preference)
         });
