--- a/crates/balance/examples/policy_trial.rs
+++ b/crates/balance/examples/policy_trial.rs
@@ -13,8 +13,8 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use shallotfork_balance::{
-    Admission, Ask, Assignment, AttemptId, AttemptOutcome, GroupEntry, GroupSize, Policy, Pool,
-    PoolConfig, PoolTarget, Resolution, ServiceGroup, Ticket, Woken,
+    Admission, Assignment, AttemptId, AttemptOutcome, GroupEntry, GroupSize, Policy, Pool,
+    PoolConfig, PoolRequest, PoolTarget, Resolution, ResolvedTicket, ServiceGroup, Ticket,
 };
 use shallotfork_measure::LoadReport;
 use shallotfork_types::{FailureDomain, Mono, ServiceName, TargetId, VmId};
@@ -263,8 +263,8 @@
         }
     }
 
-    fn ask(&self, request: usize) -> Ask {
-        Ask::new(Mono::from_micros(self.requests[request].arrived_us).plus(DEADLINE))
+    fn ask(&self, request: usize) -> PoolRequest {
+        PoolRequest::new(Mono::from_micros(self.requests[request].arrived_us).plus(DEADLINE))
     }
 
     fn arrive(&mut self, request: usize) {
@@ -286,8 +286,8 @@
         }
     }
 
-    fn woken(&mut self, entry: usize, woken: Vec<Woken>) {
-        for Woken { ticket, resolution } in woken {
+    fn woken(&mut self, entry: usize, woken: Vec<ResolvedTicket>) {
+        for ResolvedTicket { ticket, resolution } in woken {
             let request = self.tickets[entry].remove(&ticket).expect("a waiting ticket");
             match resolution {
                 Resolution::Send(assignment) => self.send(request, assignment, false),
@@ -530,10 +530,11 @@
             "--spread" => spread = value().parse().expect("a number"),
             "--stale-ms" => stale_us = value().parse::<u64>().expect("a number") * 1000,
             "--seed" => seed = value().parse().expect("a number"),
-            "--gate-extra" => ours.target.gate_extra = value().parse().expect("a number"),
-            "--gate-away" => ours.target.gate_away = value().parse().expect("a number"),
+            "--gate-extra" => ours.target.extra_concurrency = value().parse().expect("a number"),
+            "--gate-away" => ours.target.non_home_concurrency = value().parse().expect("a number"),
             "--fade-ms" => {
-                ours.target.report_fade = Duration::from_millis(value().parse().expect("a number"));
+                ours.target.report_decay =
+                    Duration::from_millis(value().parse().expect("a number"));
             }
             "--slow-factor" => ours.target.slow_factor = value().parse().expect("a number"),
             "--only-ours" => only_ours = true,
--- a/crates/balance/src/admission.rs
+++ b/crates/balance/src/admission.rs
@@ -105,7 +105,7 @@
 
 /// The end of one ticket.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Woken {
+pub struct ResolvedTicket {
     /// The ticket that `Admission::Queued` gave.
     pub ticket: Ticket,
     /// What becomes of its request.
@@ -116,7 +116,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct PoolCounts {
     /// Requests that were not sent before, refused ones included.
-    pub firsts: u64,
+    pub first_attempts: u64,
     /// Retries within the budget.
     pub retries: u64,
     /// Hedges sent.
--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -5,31 +5,31 @@
 //! serves one service in one process.
 
 mod admission;
-mod ask;
 mod budget;
 mod group;
 mod latency;
 mod limit;
-mod patience;
 mod policy;
 mod pool;
 mod pool_config;
+mod prior_wait;
 mod queue;
+mod request;
 mod retry_window;
 mod slots;
 mod target;
 mod target_config;
 
 pub use admission::{
-    Admission, Assignment, AttemptId, AttemptOutcome, PoolCounts, Resolution, Shed, ShedReason,
-    Ticket, Woken,
+    Admission, Assignment, AttemptId, AttemptOutcome, PoolCounts, Resolution, ResolvedTicket, Shed,
+    ShedReason, Ticket,
 };
-pub use ask::{Ask, Priority};
 pub use group::{GroupEntry, GroupSize, ServiceGroup};
-pub use patience::Patience;
 pub use policy::{Policy, UnknownPolicy};
 pub use pool::Pool;
 pub use pool_config::PoolConfig;
+pub use prior_wait::PriorWaitEstimator;
+pub use request::{PoolRequest, Priority};
 pub use retry_window::{RetryAllowance, RetryWindow};
 pub use slots::{
     Belief, BeliefChange, LoadFigures, Pace, SlotAsk, SlotOutcome, SlotPool, SlotPoolConfig,
--- a/crates/balance/src/pool.rs
+++ b/crates/balance/src/pool.rs
@@ -19,8 +19,8 @@
 use crate::queue::WaitQueue;
 use crate::target::{PoolView, Ramp, RampKind, Target};
 use crate::{
-    Admission, Ask, Assignment, AttemptId, AttemptOutcome, PoolConfig, PoolCounts, PoolTarget,
-    ShedReason, TargetStatus, Ticket, Woken,
+    Admission, Assignment, AttemptId, AttemptOutcome, PoolConfig, PoolCounts, PoolRequest,
+    PoolTarget, ResolvedTicket, ShedReason, TargetStatus, Ticket,
 };
 
 /// Weight of a new report in the mean number of requests of other processes.
@@ -36,7 +36,7 @@
 
 /// Decides for one service which request goes to which target, and when.
 ///
-/// - Every `Assignment` is given back by `finish`; every `Ticket` ends once, by `Woken` from
+/// - Every `Assignment` is given back by `finish`; every `Ticket` ends once, by `ResolvedTicket` from
 ///   `finish`, `expire`, `report` or `set_targets`, or by `cancel`.
 /// - Draining and excluded targets are never assigned.
 /// - When all serving targets look bad, the evidence is ignored rather than serving nobody.
@@ -58,7 +58,7 @@
     view: PoolView,
     answers_since_view: u32,
     /// Tickets that ended outside a call that returns them.
-    ended: Vec<Woken>,
+    ended: Vec<ResolvedTicket>,
     last_id: u64,
 }
 
@@ -86,7 +86,7 @@
 
     /// Takes the list of targets. What is known of those that stay is kept; targets that appear
     /// later than the first list ramp up, as they may be cold.
-    pub fn set_targets(&mut self, published: &[PoolTarget], now: Mono) -> Vec<Woken> {
+    pub fn set_targets(&mut self, published: &[PoolTarget], now: Mono) -> Vec<ResolvedTicket> {
         let cold = Ramp { from: now, kind: RampKind::Cold };
         let ramp = (!self.targets.is_empty()).then_some(cold);
         let mut known = std::mem::take(&mut self.targets);
@@ -104,7 +104,7 @@
     }
 
     /// Decides about a request that was not sent before.
-    pub fn admit(&mut self, ask: Ask, now: Mono) -> Admission {
+    pub fn admit(&mut self, ask: PoolRequest, now: Mono) -> Admission {
         self.hedges.first_attempt();
         self.retries.first_attempt();
         self.place(ask, now)
@@ -112,7 +112,7 @@
 
     /// Decides about a request whose attempt failed and may safely be sent again. Exclude the
     /// targets that it was sent to.
-    pub fn retry(&mut self, ask: Ask, now: Mono) -> Admission {
+    pub fn retry(&mut self, ask: PoolRequest, now: Mono) -> Admission {
         if !self.retries.take() {
             return Admission::Shed(self.shed(ShedReason::RetryBudget, 0));
         }
@@ -127,7 +127,7 @@
 
     /// A second target for a request in flight, if the budget and the gates allow one now. The
     /// caller ensures that the request is idempotent.
-    pub fn hedge(&mut self, attempt: AttemptId, ask: Ask, now: Mono) -> Option<Assignment> {
+    pub fn hedge(&mut self, attempt: AttemptId, ask: PoolRequest, now: Mono) -> Option<Assignment> {
         let mut ask = ask;
         ask.exclude.push(self.attempts.get(&attempt)?.target.clone());
         if !self.hedges.has_room() || !self.queue.is_empty() || ask.deadline <= now {
@@ -149,7 +149,7 @@
         outcome: AttemptOutcome,
         report: Option<LoadReport>,
         now: Mono,
-    ) -> Vec<Woken> {
+    ) -> Vec<ResolvedTicket> {
         let Some(running) = self.attempts.remove(&attempt) else { return self.take_ended() };
         if let Some(target) = self.find(&running.target) {
             target.end(attempt, running.started);
@@ -161,7 +161,7 @@
         self.wake(now)
     }
 
-    /// Gives up a place in the queue; whether the ticket was still waiting. If not, its `Woken`
+    /// Gives up a place in the queue; whether the ticket was still waiting. If not, its `ResolvedTicket`
     /// is already on its way.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         self.queue.remove(ticket).is_some()
@@ -181,7 +181,7 @@
     }
 
     /// Ends waiting requests whose deadline has passed, and uses targets whose time has come.
-    pub fn expire(&mut self, now: Mono) -> Vec<Woken> {
+    pub fn expire(&mut self, now: Mono) -> Vec<ResolvedTicket> {
         while let Some(ticket) = self.queue.pop_expired(now) {
             self.end(ticket, ShedReason::DeadlinePassed);
         }
@@ -226,7 +226,7 @@
     /// What was asked for so far, for operators.
     pub fn counts(&self) -> PoolCounts {
         PoolCounts {
-            firsts: self.retries.firsts(),
+            first_attempts: self.retries.firsts(),
             retries: self.retries.taken(),
             hedges: self.hedges.taken(),
         }
--- a/crates/balance/src/pool/choice.rs
+++ b/crates/balance/src/pool/choice.rs
@@ -5,7 +5,7 @@
 use super::{Pool, Running};
 use crate::policy::Candidate;
 use crate::target::Target;
-use crate::{Ask, Assignment, AttemptId, PoolTarget, TargetState};
+use crate::{Assignment, AttemptId, PoolRequest, PoolTarget, TargetState};
 
 impl Pool {
     /// Targets that take new work, by what was published and by their own word.
@@ -15,7 +15,7 @@
     /// has to serve still: then only the list counts.
     pub(super) fn serving_for<'a>(
         &'a self,
-        ask: &'a Ask,
+        ask: &'a PoolRequest,
         now: Mono,
     ) -> impl Iterator<Item = (usize, &'a Target)> + 'a {
         let mut serving = self.targets.iter().filter(|target| target.is_serving());
@@ -27,8 +27,8 @@
         targets.filter(move |(_, target)| takes_work(target) && wanted(target))
     }
 
-    pub(super) fn assign(&mut self, ask: &Ask, now: Mono) -> Option<Assignment> {
-        if self.config.gated && !self.limit.has_room(self.attempts.len()) {
+    pub(super) fn assign(&mut self, ask: &PoolRequest, now: Mono) -> Option<Assignment> {
+        if self.config.concurrency_limited && !self.limit.has_room(self.attempts.len()) {
             return None;
         }
         let candidates = self.candidates(ask, now);
@@ -54,7 +54,7 @@
 
     /// Targets with room. Those ejected are left out, unless that is half of all or more: then
     /// the evidence more likely shows a fault of this process or its network.
-    pub(super) fn candidates(&self, ask: &Ask, now: Mono) -> Vec<Candidate> {
+    pub(super) fn candidates(&self, ask: &PoolRequest, now: Mono) -> Vec<Candidate> {
         let serving = self.serving_for(ask, now);
         let (ejected, healthy): (Vec<_>, Vec<_>) = serving.partition(|(_, t)| t.is_ejected(now));
         let ignore_evidence = ejected.len() >= healthy.len();
@@ -67,7 +67,7 @@
     }
 
     pub(super) fn has_room(&self, target: &Target, now: Mono) -> bool {
-        if !self.config.gated {
+        if !self.config.concurrency_limited {
             return true;
         }
         target.running() < target.gate(now, &self.view, &self.config.target)
@@ -77,13 +77,17 @@
         &self,
         index: usize,
         target: &Target,
-        ask: &Ask,
+        ask: &PoolRequest,
         now: Mono,
     ) -> Candidate {
         let config = &self.config.target;
         let domain = &target.published.failure_domain;
-        let rank = ask.prefer.iter().position(|near| near == domain).unwrap_or(ask.prefer.len());
-        let far_us = config.far_cost.as_micros() as f64 * rank as f64;
+        let rank = ask
+            .preferred_domains
+            .iter()
+            .position(|near| near == domain)
+            .unwrap_or(ask.preferred_domains.len());
+        let far_us = config.far_domain_cost.as_micros() as f64 * rank as f64;
         let cost = target.cost_us(now, &self.view, config) + far_us;
         Candidate { index, running: target.running(), cost }
     }
@@ -93,7 +97,7 @@
         if all.len() <= self.config.subset_max {
             return all;
         }
-        let own = self.config.subset_of.as_ref().map_or("", |vm| vm.as_str());
+        let own = self.config.subset_vm.as_ref().map_or("", |vm| vm.as_str());
         all.sort_by_cached_key(|target| {
             let usable = target.state == TargetState::Serving;
             std::cmp::Reverse((usable, target.home, rendezvous_weight(own, target.id.as_str())))
--- a/crates/balance/src/pool/waiting.rs
+++ b/crates/balance/src/pool/waiting.rs
@@ -5,7 +5,7 @@
 use shallotfork_types::Mono;
 
 use super::Pool;
-use crate::{Admission, Ask, Resolution, Shed, ShedReason, Ticket, Woken};
+use crate::{Admission, PoolRequest, Resolution, ResolvedTicket, Shed, ShedReason, Ticket};
 
 /// Bounds of the advice when to come back.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(20);
@@ -16,7 +16,7 @@
 const WAKE_SCAN_MAX: usize = 32;
 
 impl Pool {
-    pub(super) fn place(&mut self, ask: Ask, now: Mono) -> Admission {
+    pub(super) fn place(&mut self, ask: PoolRequest, now: Mono) -> Admission {
         if ask.deadline <= now {
             return Admission::Shed(self.shed(ShedReason::DeadlinePassed, 0));
         }
@@ -32,7 +32,7 @@
         self.enqueue(ask, ahead, now)
     }
 
-    pub(super) fn enqueue(&mut self, ask: Ask, ahead: usize, now: Mono) -> Admission {
+    pub(super) fn enqueue(&mut self, ask: PoolRequest, ahead: usize, now: Mono) -> Admission {
         let wait = self.expected_wait(ahead + 1);
         let end = now.plus(wait + self.likely_latency());
         if end > ask.deadline || self.is_standing(now) && wait > self.standing_wait(&ask, now) {
@@ -64,8 +64,8 @@
         now.since(since) > self.config.standing_after
     }
 
-    pub(super) fn standing_wait(&self, ask: &Ask, now: Mono) -> Duration {
-        ask.deadline.since(now).mul_f64(self.config.standing_wait)
+    pub(super) fn standing_wait(&self, ask: &PoolRequest, now: Mono) -> Duration {
+        ask.deadline.since(now).mul_f64(self.config.standing_wait_share)
     }
 
     /// Time within which most attempts end.
@@ -84,15 +84,15 @@
 
     pub(super) fn end(&mut self, ticket: Ticket, reason: ShedReason) {
         let shed = self.shed(reason, self.queue.len());
-        self.ended.push(Woken { ticket, resolution: Resolution::Shed(shed) });
+        self.ended.push(ResolvedTicket { ticket, resolution: Resolution::Shed(shed) });
     }
 
-    pub(super) fn take_ended(&mut self) -> Vec<Woken> {
+    pub(super) fn take_ended(&mut self) -> Vec<ResolvedTicket> {
         std::mem::take(&mut self.ended)
     }
 
     /// Assigns waiting requests in order while targets have room.
-    pub(super) fn wake(&mut self, now: Mono) -> Vec<Woken> {
+    pub(super) fn wake(&mut self, now: Mono) -> Vec<ResolvedTicket> {
         let mut woken = self.take_ended();
         let first: Vec<Ticket> =
             self.queue.iter().take(WAKE_SCAN_MAX).map(|(ticket, _)| ticket).collect();
@@ -100,12 +100,12 @@
             let Some(ask) = self.queue.remove(ticket) else { continue };
             if let Some(reason) = self.too_late(&ask, now) {
                 let shed = self.shed(reason, 0);
-                woken.push(Woken { ticket, resolution: Resolution::Shed(shed) });
+                woken.push(ResolvedTicket { ticket, resolution: Resolution::Shed(shed) });
                 continue;
             }
             match self.assign(&ask, now) {
                 Some(assignment) => {
-                    woken.push(Woken { ticket, resolution: Resolution::Send(assignment) });
+                    woken.push(ResolvedTicket { ticket, resolution: Resolution::Send(assignment) });
                 }
                 None => {
                     let any_target_would_do = ask.exclude.is_empty();
@@ -124,7 +124,7 @@
 
     /// Why a request that gets its turn is not worth sending. One sent with less time left than
     /// most attempts need takes a slot, times out, and costs its connection too.
-    pub(super) fn too_late(&self, ask: &Ask, now: Mono) -> Option<ShedReason> {
+    pub(super) fn too_late(&self, ask: &PoolRequest, now: Mono) -> Option<ShedReason> {
         if ask.deadline <= now {
             return Some(ShedReason::DeadlinePassed);
         }
@@ -141,7 +141,7 @@
         }
     }
 
-    pub(super) fn has_target_for(&self, ask: &Ask, now: Mono) -> bool {
+    pub(super) fn has_target_for(&self, ask: &PoolRequest, now: Mono) -> bool {
         self.serving_for(ask, now).next().is_some()
     }
 }
--- a/crates/balance/src/patience.rs
+++ b/crates/balance/src/prior_wait.rs
@@ -18,13 +18,13 @@
 /// requests look late before they are sent, and under load those that could be answered in good
 /// time wait behind others that can't.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Patience {
+pub struct PriorWaitEstimator {
     longest_ms: f64,
     median_ms: f64,
     seen: u32,
 }
 
-impl Patience {
+impl PriorWaitEstimator {
     /// Nothing is known but one deadline.
     pub fn new(deadline: Duration) -> Self {
         let deadline_ms = deadline.as_secs_f64() * 1000.0;
@@ -35,7 +35,7 @@
     ///
     /// First deadlines are taken to lie evenly around their median, below the longest one. The
     /// median holds as long as less than half of all requests have come back.
-    pub fn waited(&mut self, deadline: Duration) -> Duration {
+    pub fn estimate(&mut self, deadline: Duration) -> Duration {
         let deadline_ms = deadline.as_secs_f64() * 1000.0;
         self.longest_ms = self.longest_ms.max(deadline_ms);
         self.seen = self.seen.saturating_add(1);
--- a/crates/balance/src/queue.rs
+++ b/crates/balance/src/queue.rs
@@ -5,14 +5,14 @@
 
 use shallotfork_types::Mono;
 
-use crate::{Ask, Priority, Ticket};
+use crate::{PoolRequest, Priority, Ticket};
 
 /// Order of service: the most urgent first, then the earliest deadline, then the first to come.
 type Order = (Reverse<Priority>, Mono, Ticket);
 
 #[derive(Debug, Default)]
 pub(crate) struct WaitQueue {
-    waiting: BTreeMap<Order, Ask>,
+    waiting: BTreeMap<Order, PoolRequest>,
     orders: BTreeMap<Ticket, Order>,
     deadlines: BTreeSet<(Mono, Ticket)>,
 }
@@ -26,14 +26,14 @@
         self.waiting.is_empty()
     }
 
-    pub(crate) fn push(&mut self, ticket: Ticket, ask: Ask) {
+    pub(crate) fn push(&mut self, ticket: Ticket, ask: PoolRequest) {
         let order = order(ticket, &ask);
         self.deadlines.insert((ask.deadline, ticket));
         self.orders.insert(ticket, order);
         self.waiting.insert(order, ask);
     }
 
-    pub(crate) fn remove(&mut self, ticket: Ticket) -> Option<Ask> {
+    pub(crate) fn remove(&mut self, ticket: Ticket) -> Option<PoolRequest> {
         let order = self.orders.remove(&ticket)?;
         let ask = self.waiting.remove(&order)?;
         self.deadlines.remove(&(ask.deadline, ticket));
@@ -41,18 +41,18 @@
     }
 
     /// How many would be served before this ask.
-    pub(crate) fn ahead_of(&self, ask: &Ask) -> usize {
+    pub(crate) fn ahead_of(&self, ask: &PoolRequest) -> usize {
         self.waiting.range(..order(Ticket(u64::MAX), ask)).count()
     }
 
     /// The last in order of service, if it comes after this ask.
-    pub(crate) fn last_after(&self, ask: &Ask) -> Option<Ticket> {
+    pub(crate) fn last_after(&self, ask: &PoolRequest) -> Option<Ticket> {
         let (last, _) = self.waiting.last_key_value()?;
         (*last > order(Ticket(u64::MAX), ask)).then_some(last.2)
     }
 
     /// In order of service.
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (Ticket, &Ask)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (Ticket, &PoolRequest)> {
         self.waiting.iter().map(|(order, ask)| (order.2, ask))
     }
 
@@ -71,6 +71,6 @@
     }
 }
 
-fn order(ticket: Ticket, ask: &Ask) -> Order {
+fn order(ticket: Ticket, ask: &PoolRequest) -> Order {
     (Reverse(ask.priority), ask.deadline, ticket)
 }
--- a/crates/balance/src/ask.rs
+++ b/crates/balance/src/request.rs
@@ -20,21 +20,26 @@
 
 /// One request's wish for a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct PoolRequest {
     /// How urgent the request is.
     pub priority: Priority,
     /// After this time nobody awaits the answer.
     pub deadline: Mono,
     /// Failure domains to prefer, best first; empty when all are equal.
-    pub prefer: Vec<FailureDomain>,
+    pub preferred_domains: Vec<FailureDomain>,
     /// Targets that must not be chosen, such as those that the request was already sent to.
     pub exclude: Vec<TargetId>,
 }
 
-impl Ask {
+impl PoolRequest {
     /// An ask of the lowest priority without preference.
     pub fn new(deadline: Mono) -> Self {
-        Self { priority: Priority::default(), deadline, prefer: Vec::new(), exclude: Vec::new() }
+        Self {
+            priority: Priority::default(),
+            deadline,
+            preferred_domains: Vec::new(),
+            exclude: Vec::new(),
+        }
     }
 
     /// Sets the priority.
@@ -46,8 +51,8 @@
 
     /// Sets the failure domains to prefer, best first.
     #[must_use]
-    pub fn with_prefer(mut self, prefer: Vec<FailureDomain>) -> Self {
-        self.prefer = prefer;
+    pub fn with_preferred_domains(mut self, preferred_domains: Vec<FailureDomain>) -> Self {
+        self.preferred_domains = preferred_domains;
         self
     }
 
--- a/crates/balance/src/retry_window.rs
+++ b/crates/balance/src/retry_window.rs
@@ -44,12 +44,12 @@
     }
 
     /// Counts a request of a caller.
-    pub fn request(&mut self, now: Mono) {
+    pub fn record_request(&mut self, now: Mono) {
         self.part(now).requests += 1;
     }
 
     /// Counts one more send of a request, if the allowance has room; whether it does.
-    pub fn try_repeat(&mut self, allowance: RetryAllowance, now: Mono) -> bool {
+    pub fn try_acquire(&mut self, allowance: RetryAllowance, now: Mono) -> bool {
         self.part(now);
         let requests: u64 = self.parts.iter().map(|part| part.requests).sum();
         let repeats: u64 = self.parts.iter().map(|part| part.repeats).sum();
--- a/crates/balance/src/slots/pool.rs
+++ b/crates/balance/src/slots/pool.rs
@@ -12,7 +12,7 @@
 use super::queue::SlotQueue;
 use super::target::Target;
 use super::{SlotAsk, WorkClass};
-use crate::{Admission, Assignment, AttemptId, Shed, ShedReason, Ticket, Woken};
+use crate::{Admission, Assignment, AttemptId, ResolvedTicket, Shed, ShedReason, Ticket};
 
 /// Beyond this, what did not come in time may have come; a timer is a millisecond or two late.
 const OWN_LATENESS_MAX: Duration = Duration::from_millis(8);
@@ -120,7 +120,7 @@
     }
 
     /// Takes the published targets; what is known of those that stay is kept.
-    pub fn set_targets(&mut self, published: Vec<SlotTarget>, now: Mono) -> Vec<Woken> {
+    pub fn set_targets(&mut self, published: Vec<SlotTarget>, now: Mono) -> Vec<ResolvedTicket> {
         let mut known = std::mem::take(&mut self.targets);
         let cold_max = self.cold_max();
         for mut target in published {
@@ -196,7 +196,7 @@
         outcome: SlotOutcome,
         figures: Option<LoadFigures>,
         now: Mono,
-    ) -> Vec<Woken> {
+    ) -> Vec<ResolvedTicket> {
         let Some(id) = self.attempts.remove(&attempt) else { return Vec::new() };
         if let Some(target) = self.targets.get_mut(&id) {
             if let Some(running) = target.end(attempt) {
@@ -214,7 +214,12 @@
     }
 
     /// Takes a target's account of its load that came with a probe's answer.
-    pub fn report(&mut self, id: &TargetId, figures: LoadFigures, now: Mono) -> Vec<Woken> {
+    pub fn report(
+        &mut self,
+        id: &TargetId,
+        figures: LoadFigures,
+        now: Mono,
+    ) -> Vec<ResolvedTicket> {
         let Some(target) = self.targets.get_mut(id) else { return Vec::new() };
         target.is_silent = false;
         target.report(figures, &mut self.learnt, now);
@@ -228,7 +233,7 @@
 
     /// Refuses those who have waited long enough and uses targets whose time has come. To be called
     /// at short intervals while requests wait.
-    pub fn expire(&mut self, now: Mono) -> Vec<Woken> {
+    pub fn expire(&mut self, now: Mono) -> Vec<ResolvedTicket> {
         self.wake(now)
     }
 
--- a/crates/balance/src/slots/wake.rs
+++ b/crates/balance/src/slots/wake.rs
@@ -6,14 +6,14 @@
 
 use super::pool::Choice;
 use super::{SlotAsk, SlotPool, WorkClass};
-use crate::{Admission, Resolution, ShedReason, Ticket, Woken};
+use crate::{Admission, Resolution, ResolvedTicket, ShedReason, Ticket};
 
 impl SlotPool {
     /// Gives the slots of one target, of which something new is known, to those who wait.
     ///
     /// Only this target's slots can have become usable. With hundreds of targets and requests in the
     /// queue, comparing all with all at each answer takes longer than serving a request.
-    pub(super) fn wake_for(&mut self, id: &TargetId, now: Mono) -> Vec<Woken> {
+    pub(super) fn wake_for(&mut self, id: &TargetId, now: Mono) -> Vec<ResolvedTicket> {
         let mut woken = Vec::new();
         if self.queue.is_empty() || !self.is_open(id, now) {
             return woken;
@@ -24,7 +24,7 @@
                 self.queue.push(ticket, ask);
                 continue;
             };
-            woken.push(Woken { ticket, resolution: Resolution::Send(assignment) });
+            woken.push(ResolvedTicket { ticket, resolution: Resolution::Send(assignment) });
             if !self.is_open(id, now) {
                 break;
             }
@@ -49,7 +49,7 @@
         order.into_iter().map(|(ticket, _)| ticket).collect()
     }
 
-    pub(super) fn wake(&mut self, now: Mono) -> Vec<Woken> {
+    pub(super) fn wake(&mut self, now: Mono) -> Vec<ResolvedTicket> {
         let mut woken = Vec::new();
         // A long queue would be compared with every target at each answer. Where one request finds no
         // slot, those behind it that judge a slow slot alike are not tried this time: of the same
@@ -60,7 +60,7 @@
             let alike = (ask.class.clone(), self.is_in_time(&ask, now));
             let hopeless = ask.exclude.is_empty() && without_slot.contains(&alike);
             if let Some(resolution) = self.resolve(&ask, hopeless, now) {
-                woken.push(Woken { ticket, resolution });
+                woken.push(ResolvedTicket { ticket, resolution });
                 continue;
             }
             if ask.exclude.is_empty() {
--- a/crates/balance/src/target.rs
+++ b/crates/balance/src/target.rs
@@ -93,7 +93,7 @@
     /// When its last load report came.
     pub reported_at: Option<Mono>,
     /// When it last answered a request.
-    pub heard_at: Option<Mono>,
+    pub last_seen_at: Option<Mono>,
 }
 
 /// The pool's averages, against which one target is judged.
@@ -153,7 +153,7 @@
     /// The ramp; `None` when it gets its whole share.
     ramp: Option<Ramp>,
     reported: Option<Reported>,
-    heard_at: Option<Mono>,
+    last_seen_at: Option<Mono>,
     /// When it last refused for overload.
     shed_at: Option<Mono>,
 }
@@ -176,7 +176,7 @@
             leaving_until: None,
             ramp,
             reported: None,
-            heard_at: None,
+            last_seen_at: None,
             shed_at: None,
         }
     }
@@ -232,7 +232,7 @@
             latency: self.latency_us.map(|us| Duration::from_micros(us as u64)),
             ejected: self.is_ejected(now),
             reported_at: self.reported.as_ref().map(|reported| reported.at),
-            heard_at: self.heard_at,
+            last_seen_at: self.last_seen_at,
         }
     }
 
@@ -250,9 +250,9 @@
     /// a target's queue far beyond what its slots can serve in time.
     pub(crate) fn whole_gate(&self, config: &TargetConfig) -> u32 {
         if !self.published.home {
-            return config.gate_away;
+            return config.non_home_concurrency;
         }
-        self.published.slots.saturating_add(config.gate_extra).max(1)
+        self.published.slots.saturating_add(config.extra_concurrency).max(1)
     }
 
     /// Expected time of one more request, in microseconds.
@@ -280,7 +280,7 @@
         }
         let usual = view.others_per_slot * self.slots();
         let Some(reported) = &self.reported else { return usual };
-        let weight = fade(now.since(reported.at), config.report_fade);
+        let weight = fade(now.since(reported.at), config.report_decay);
         reported.others.max(0.0) * weight + usual * (1.0 - weight) + self.refusing(now, view)
     }
 
@@ -310,7 +310,8 @@
     fn answered_slowness(&self, now: Mono, view: &PoolView, config: &TargetConfig) -> f64 {
         let Some(latency_us) = self.latency_us else { return 1.0 };
         let ratio = latency_us / view.median_us.max(1.0);
-        let age = now.since(self.latency_at).as_secs_f64() / config.forget.as_secs_f64();
+        let age =
+            now.since(self.latency_at).as_secs_f64() / config.slowness_half_life.as_secs_f64();
         let faded = 1.0 + (ratio - 1.0) * (-age).exp2();
         if faded < config.slow_factor { 1.0 } else { faded }
     }
@@ -318,7 +319,7 @@
     fn ramp(&self, now: Mono, config: &TargetConfig) -> f64 {
         let Some(ramp) = &self.ramp else { return 1.0 };
         let length = match ramp.kind {
-            RampKind::Cold => config.ramp,
+            RampKind::Cold => config.cold_ramp,
             RampKind::Returning => config.return_ramp,
         };
         let part = now.since(ramp.from).as_secs_f64() / length.as_secs_f64().max(f64::MIN_POSITIVE);
@@ -340,7 +341,7 @@
         now: Mono,
         config: &TargetConfig,
     ) -> Option<f64> {
-        self.leaving_until = report.draining.then(|| now.plus(config.drain_trust));
+        self.leaving_until = report.draining.then(|| now.plus(config.drain_report_ttl));
         let slots = self.slots();
         let by_use = report.utilisation.map(|used| f64::from(used.value()) / 1000.0 * slots);
         let all = report.in_flight.map(f64::from).or(by_use)?;
@@ -352,7 +353,7 @@
     }
 
     pub(crate) fn answered(&mut self, service_us: f64, now: Mono) {
-        self.heard_at = Some(now);
+        self.last_seen_at = Some(now);
         self.failures_in_row = 0;
         self.ejections = 0;
         self.failure_share *= 1.0 - FAILURE_WEIGHT;
@@ -384,7 +385,7 @@
     }
 
     pub(crate) fn shed(&mut self, now: Mono, spread: f64, config: &TargetConfig) {
-        self.heard_at = Some(now);
+        self.last_seen_at = Some(now);
         self.shed_at = Some(now);
         self.failed(now, spread, config);
     }
--- a/crates/balance/tests/failures.rs
+++ b/crates/balance/tests/failures.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use shallotfork_balance::{
-    Admission, Ask, Assignment, AttemptId, AttemptOutcome, Pool, PoolConfig, PoolTarget, Priority,
-    Resolution, ShedReason, TargetState, Ticket, Woken,
+    Admission, Assignment, AttemptId, AttemptOutcome, Pool, PoolConfig, PoolRequest, PoolTarget,
+    Priority, Resolution, ResolvedTicket, ShedReason, TargetState, Ticket,
 };
 use shallotfork_measure::LoadReport;
 use shallotfork_types::{FailureDomain, Mono, TargetId};
@@ -97,7 +97,7 @@
         for number in 0..count {
             self.pass(gap);
             let priority = priority(number);
-            let ask = Ask::new(self.now.plus(PATIENCE)).with_priority(priority);
+            let ask = PoolRequest::new(self.now.plus(PATIENCE)).with_priority(priority);
             match self.pool.admit(ask, self.now) {
                 Admission::Send(assignment) => self.send(assignment),
                 Admission::Queued(ticket) => {
@@ -136,8 +136,8 @@
         self.wake(woken);
     }
 
-    fn wake(&mut self, woken: Vec<Woken>) {
-        for Woken { ticket, resolution } in woken {
+    fn wake(&mut self, woken: Vec<ResolvedTicket>) {
+        for ResolvedTicket { ticket, resolution } in woken {
             let priority = self.waiting.remove(&ticket).expect("a waiting ticket");
             match resolution {
                 Resolution::Send(assignment) => self.send(assignment),
@@ -305,7 +305,7 @@
     let mut retried = 0;
     for _ in 0..1000 {
         drive.play(1, USUAL * 2);
-        let ask = Ask::new(drive.now.plus(PATIENCE));
+        let ask = PoolRequest::new(drive.now.plus(PATIENCE));
         let Admission::Send(assignment) = drive.pool.retry(ask, drive.now) else { continue };
         retried += 1;
         drive.send(assignment);
@@ -324,7 +324,8 @@
     for seed in 0..16 {
         let mut pool = Pool::new(PoolConfig::default(), seed);
         pool.set_targets(&[home.clone(), far.clone()], Mono::ZERO);
-        let ask = || Ask::new(Mono::ZERO.plus(PATIENCE)).with_prefer(near.clone());
+        let ask =
+            || PoolRequest::new(Mono::ZERO.plus(PATIENCE)).with_preferred_domains(near.clone());
         let mut choose = || match pool.admit(ask(), Mono::ZERO) {
             Admission::Send(assignment) => assignment.target,
             other => panic!("there is room: {other:?}"),
@@ -340,7 +341,7 @@
 fn a_request_whose_last_target_drains_is_refused_at_once() {
     let mut pool = Pool::new(PoolConfig::default(), SEED);
     pool.set_targets(&[target(0)], Mono::ZERO);
-    let ask = || Ask::new(Mono::ZERO.plus(PATIENCE));
+    let ask = || PoolRequest::new(Mono::ZERO.plus(PATIENCE));
     let ticket = loop {
         match pool.admit(ask(), Mono::ZERO) {
             Admission::Send(_) => {}
@@ -364,7 +365,8 @@
     drive.pass(PATIENCE);
     for _ in 0..20 {
         let soon = drive.now.plus(Duration::from_millis(2));
-        let Admission::Send(assignment) = drive.pool.admit(Ask::new(soon), drive.now) else {
+        let Admission::Send(assignment) = drive.pool.admit(PoolRequest::new(soon), drive.now)
+        else {
             panic!("there is room")
         };
         drive.now = soon;
@@ -384,7 +386,7 @@
     drive.pass(PATIENCE);
     let mut tickets = Vec::new();
     for _ in 0..5 {
-        let ask = Ask::new(drive.now.plus(Duration::from_millis(35)));
+        let ask = PoolRequest::new(drive.now.plus(Duration::from_millis(35)));
         match drive.pool.admit(ask, drive.now) {
             Admission::Send(assignment) => drive.send(assignment),
             Admission::Queued(ticket) => tickets.push(ticket),
--- a/crates/balance/tests/leaving.rs
+++ b/crates/balance/tests/leaving.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use shallotfork_balance::{
-    Admission, Ask, Assignment, AttemptOutcome, Pool, PoolConfig, PoolTarget, TargetConfig,
+    Admission, Assignment, AttemptOutcome, Pool, PoolConfig, PoolRequest, PoolTarget, TargetConfig,
 };
 use shallotfork_measure::LoadReport;
 use shallotfork_types::{FailureDomain, Mono, TargetId};
@@ -40,7 +40,7 @@
     }
 
     fn request(&mut self) -> TargetId {
-        let ask = Ask::new(self.now.plus(Duration::from_secs(1)));
+        let ask = PoolRequest::new(self.now.plus(Duration::from_secs(1)));
         let Admission::Send(Assignment { attempt, target }) = self.pool.admit(ask, self.now) else {
             panic!("an idle pool must send at once");
         };
@@ -78,7 +78,7 @@
     let mut drive = Drive::new(2).with_leaving(0);
     drive.play(50);
     drive.leaving.clear();
-    drive.now = drive.now.plus(TargetConfig::default().drain_trust);
+    drive.now = drive.now.plus(TargetConfig::default().drain_report_ttl);
     let sent = drive.play(500);
     assert!(count(&sent, 0) > 50, "requests to the returned target: {}", count(&sent, 0));
 }
--- a/crates/balance/tests/pool.rs
+++ b/crates/balance/tests/pool.rs
@@ -5,8 +5,8 @@
 
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 use shallotfork_balance::{
-    Admission, Ask, Assignment, AttemptId, AttemptOutcome, Policy, Pool, PoolConfig, PoolTarget,
-    Priority, Resolution, ShedReason, TargetState, Ticket, Woken,
+    Admission, Assignment, AttemptId, AttemptOutcome, Policy, Pool, PoolConfig, PoolRequest,
+    PoolTarget, Priority, Resolution, ResolvedTicket, ShedReason, TargetState, Ticket,
 };
 use shallotfork_measure::LoadReport;
 use shallotfork_types::{FailureDomain, Mono, Permille, TargetId};
@@ -76,7 +76,7 @@
     now: Mono,
     serving: Vec<TargetId>,
     running: BTreeMap<AttemptId, TargetId>,
-    waiting: BTreeMap<Ticket, Ask>,
+    waiting: BTreeMap<Ticket, PoolRequest>,
     ended: BTreeSet<Ticket>,
     firsts: u64,
     hedges: u64,
@@ -103,12 +103,12 @@
         }
     }
 
-    fn ask(&self, patience_ms: u16, exclude: u8) -> Ask {
+    fn ask(&self, patience_ms: u16, exclude: u8) -> PoolRequest {
         let deadline = self.now.plus(Duration::from_millis(u64::from(patience_ms)));
-        Ask::new(deadline).with_exclude(chosen(exclude))
+        PoolRequest::new(deadline).with_exclude(chosen(exclude))
     }
 
-    fn sent(&mut self, assignment: Assignment, ask: &Ask) {
+    fn sent(&mut self, assignment: Assignment, ask: &PoolRequest) {
         assert!(self.serving.contains(&assignment.target), "assigned a target that takes nothing");
         assert!(!ask.exclude.contains(&assignment.target), "assigned an excluded target");
         assert!(ask.deadline > self.now, "assigned after the deadline");
@@ -116,7 +116,7 @@
         assert!(before.is_none(), "an attempt was named twice");
     }
 
-    fn admitted(&mut self, admission: Admission, ask: Ask) {
+    fn admitted(&mut self, admission: Admission, ask: PoolRequest) {
         match admission {
             Admission::Send(assignment) => self.sent(assignment, &ask),
             Admission::Queued(ticket) => assert!(self.waiting.insert(ticket, ask).is_none()),
@@ -131,8 +131,8 @@
         }
     }
 
-    fn woken(&mut self, woken: Vec<Woken>) {
-        for Woken { ticket, resolution } in woken {
+    fn woken(&mut self, woken: Vec<ResolvedTicket>) {
+        for ResolvedTicket { ticket, resolution } in woken {
             assert!(self.ended.insert(ticket), "a ticket ended twice");
             let ask = self.waiting.remove(&ticket).expect("only waiting tickets are woken");
             if let Resolution::Send(assignment) = resolution {
--- a/crates/balance/tests/slots.rs
+++ b/crates/balance/tests/slots.rs
@@ -10,8 +10,8 @@
 
 use quickcheck::QuickCheck;
 use shallotfork_balance::{
-    Admission, Assignment, Resolution, RetryAllowance, RetryWindow, ShedReason, SlotAsk,
-    SlotOutcome, SlotPool, SlotTarget, Ticket, Woken,
+    Admission, Assignment, Resolution, ResolvedTicket, RetryAllowance, RetryWindow, ShedReason,
+    SlotAsk, SlotOutcome, SlotPool, SlotTarget, Ticket,
 };
 use shallotfork_types::Permille;
 
@@ -19,7 +19,7 @@
     SLOW, USUAL, answered, ask, at, figures, id, learn_work, named_pool, pool, queued, sent, target,
 };
 
-fn target_of(woken: &Woken) -> Option<&str> {
+fn target_of(woken: &ResolvedTicket) -> Option<&str> {
     match &woken.resolution {
         Resolution::Send(assignment) => Some(assignment.target.as_str()),
         Resolution::Shed(_) => None,
@@ -173,9 +173,9 @@
         for (is_request, gap_ms) in steps {
             now += u64::from(gap_ms);
             if is_request {
-                limit.request(at(now));
+                limit.record_request(at(now));
                 requests.push(now);
-            } else if limit.try_repeat(allowance, at(now)) {
+            } else if limit.try_acquire(allowance, at(now)) {
                 repeats.push(now);
             }
         }
@@ -248,8 +248,8 @@
         self.within_slots()
     }
 
-    fn take(&mut self, woken: Vec<Woken>) -> bool {
-        for Woken { ticket, resolution } in woken {
+    fn take(&mut self, woken: Vec<ResolvedTicket>) -> bool {
+        for ResolvedTicket { ticket, resolution } in woken {
             let Some(place) = self.tickets.iter().position(|known| *known == ticket) else {
                 return false;
             };
--- a/crates/balance/tests/support/mod.rs
+++ b/crates/balance/tests/support/mod.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use shallotfork_balance::{
-    Admission, Assignment, LoadFigures, Pace, Patience, Resolution, Shed, SlotAsk, SlotOutcome,
-    SlotPool, SlotPoolConfig, SlotTarget, Ticket, Woken, WorkClass,
+    Admission, Assignment, LoadFigures, Pace, PriorWaitEstimator, Resolution, ResolvedTicket, Shed,
+    SlotAsk, SlotOutcome, SlotPool, SlotPoolConfig, SlotTarget, Ticket, WorkClass,
 };
 use shallotfork_types::{FailureDomain, Mono, TargetId};
 
@@ -111,7 +111,7 @@
 pub struct Simulation {
     load: Load,
     pool: SlotPool,
-    patience: Patience,
+    patience: PriorWaitEstimator,
     numbers: Numbers,
     now_ms: u64,
     events: BTreeMap<(u64, u64), Event>,
@@ -138,7 +138,7 @@
         let mut simulation = Self {
             load,
             pool,
-            patience: Patience::new(Duration::from_millis(load.deadline_ms)),
+            patience: PriorWaitEstimator::new(Duration::from_millis(load.deadline_ms)),
             numbers: Numbers::new(seed),
             now_ms: 0,
             events: BTreeMap::new(),
@@ -218,7 +218,7 @@
         match event {
             Event::Arrives(request) => {
                 let deadline = Duration::from_millis(request.gives_up_ms - request.came_ms);
-                let waited = self.patience.waited(deadline);
+                let waited = self.patience.estimate(deadline);
                 self.ask(Request { waited, ..request });
             }
             Event::Checked(request, assignment) => self.checked(request, assignment),
@@ -327,8 +327,8 @@
         self.plan(self.now_ms + LOOK_MS, Event::Look);
     }
 
-    fn deliver(&mut self, woken: Vec<Woken>) {
-        for Woken { ticket, resolution } in woken {
+    fn deliver(&mut self, woken: Vec<ResolvedTicket>) {
+        for ResolvedTicket { ticket, resolution } in woken {
             let request = self.waiting.remove(&ticket).unwrap();
             match resolution {
                 Resolution::Send(assignment) => self.got_slot(request, assignment),
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use shallotfork_balance::{Patience, SlotPoolConfig};
+use shallotfork_balance::{PriorWaitEstimator, SlotPoolConfig};
 use shallotfork_events::slog::Logger;
 use shallotfork_exchange::{BodyBudget, ServeControl, TargetLinks};
 use shallotfork_lifecycle::Phase;
@@ -175,15 +175,16 @@
 /// What is known of the deadlines that callers of each route send.
 #[derive(Debug, Default)]
 pub struct Deadlines {
-    by_route: Mutex<HashMap<RouteName, Patience>>,
+    by_route: Mutex<HashMap<RouteName, PriorWaitEstimator>>,
 }
 
 impl Deadlines {
     /// How long a caller with this deadline had waited before it came here, at least.
     pub fn waited(&self, route: &RouteName, deadline: Duration) -> Duration {
         let mut by_route = lock(&self.by_route);
-        let known = by_route.entry(route.clone()).or_insert_with(|| Patience::new(deadline));
-        known.waited(deadline)
+        let known =
+            by_route.entry(route.clone()).or_insert_with(|| PriorWaitEstimator::new(deadline));
+        known.estimate(deadline)
     }
 }
 
--- a/crates/gateway/src/traffic/service_slots.rs
+++ b/crates/gateway/src/traffic/service_slots.rs
@@ -6,8 +6,8 @@
 
 use shallotfork_balance::{
     Admission, Assignment, AttemptId, Belief, BeliefChange, LoadFigures, Resolution,
-    RetryAllowance, RetryWindow, Shed, SlotAsk, SlotOutcome, SlotPool, SlotPoolConfig, SlotSummary,
-    SlotTarget, Ticket, Woken, WorkClass,
+    ResolvedTicket, RetryAllowance, RetryWindow, Shed, SlotAsk, SlotOutcome, SlotPool,
+    SlotPoolConfig, SlotSummary, SlotTarget, Ticket, WorkClass,
 };
 use shallotfork_events::slog::Logger;
 use shallotfork_events::{TARGET_COLD, TARGET_EJECTED, TARGET_RETURNED, event};
@@ -125,14 +125,14 @@
     pub fn count_request(&self) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        inner.repeats.request(now);
+        inner.repeats.record_request(now);
         inner.asked_at = Some(now);
     }
 
     /// Takes leave to send a request once more.
     pub fn try_repeat(&self, allowance: RetryAllowance) -> bool {
         let now = self.clock.now();
-        self.lock().repeats.try_repeat(allowance, now)
+        self.lock().repeats.try_acquire(allowance, now)
     }
 
     /// A slot for a request; waits for it when needed.
@@ -339,8 +339,8 @@
 
     /// Hands out places with the lock released: a receiver that is gone drops its place, which
     /// takes the lock again.
-    fn deliver(self: &Arc<Self>, woken: Vec<Woken>) {
-        for Woken { ticket, resolution } in woken {
+    fn deliver(self: &Arc<Self>, woken: Vec<ResolvedTicket>) {
+        for ResolvedTicket { ticket, resolution } in woken {
             let place = match resolution {
                 Resolution::Send(assignment) => Ok(self.assigned(assignment)),
                 Resolution::Shed(shed) => Err(shed),
--- a/crates/shallotd/src/control/probes.rs
+++ b/crates/shallotd/src/control/probes.rs
@@ -79,7 +79,7 @@
 /// Takes over what traffic has heard of the service's targets.
 fn learn(plan: &mut ProbePlan, service: &Service) {
     for target in service.pool.status() {
-        if let Some(at) = target.heard_at {
+        if let Some(at) = target.last_seen_at {
             plan.heard(&target.id, false, at);
         }
         if let Some(at) = target.reported_at {
--- a/crates/shallotd/src/control/publish.rs
+++ b/crates/shallotd/src/control/publish.rs
@@ -146,7 +146,7 @@
             queue_max: balance.queue_max,
             hedge_share: balance.hedge_budget,
             retry_share: balance.retry_budget,
-            subset_of: Some(context.identity.vm.clone()),
+            subset_vm: Some(context.identity.vm.clone()),
             ..pool_config(balance.policy)
         };
         let seed = context.identity.incarnation.value();
--- a/crates/shallotd/src/control/report.rs
+++ b/crates/shallotd/src/control/report.rs
@@ -43,7 +43,7 @@
     };
     for service in state.context.snapshot().services.values() {
         let counts = service.pool.counts();
-        total.attempts += counts.firsts;
+        total.attempts += counts.first_attempts;
         total.retries += counts.retries;
         total.hedges += counts.hedges;
     }
--- a/crates/shallotd/src/traffic/dispatch.rs
+++ b/crates/shallotd/src/traffic/dispatch.rs
@@ -8,7 +8,7 @@
 use futures::future::{Either, select};
 use http::{Method, StatusCode};
 use poem::Response;
-use shallotfork_balance::{Ask, AttemptOutcome, Priority, Shed, ShedReason};
+use shallotfork_balance::{AttemptOutcome, PoolRequest, Priority, Shed, ShedReason};
 use shallotfork_exchange::{
     Attempt, AttemptFailure, FailureCause, Problem, TargetAddress, WholeAnswer, WholeRequest,
 };
@@ -157,10 +157,10 @@
     unserved.may_pass() && (job.repeatable || unserved.verdict() == Verdict::NotRun)
 }
 
-fn ask(job: &Job, tried: &BTreeSet<TargetId>) -> Ask {
-    Ask::new(job.deadline)
+fn ask(job: &Job, tried: &BTreeSet<TargetId>) -> PoolRequest {
+    PoolRequest::new(job.deadline)
         .with_priority(priority(job.outcome.priority))
-        .with_prefer(job.outcome.prefer.clone())
+        .with_preferred_domains(job.outcome.prefer.clone())
         .with_exclude(tried.iter().cloned().collect())
 }
 
--- a/crates/shallotd/src/traffic/service_pool.rs
+++ b/crates/shallotd/src/traffic/service_pool.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use shallotfork_balance::{
-    Admission, Ask, Assignment, AttemptId, AttemptOutcome, Pool, PoolConfig, PoolCounts,
-    PoolTarget, Resolution, Shed, TargetStatus, Ticket, Woken,
+    Admission, Assignment, AttemptId, AttemptOutcome, Pool, PoolConfig, PoolCounts, PoolRequest,
+    PoolTarget, Resolution, ResolvedTicket, Shed, TargetStatus, Ticket,
 };
 use shallotfork_measure::LoadReport;
 use shallotfork_timer::Clock;
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// The refusal, with the time after which the caller may come back.
-    pub async fn admit(self: &Arc<Self>, ask: Ask) -> Place {
+    pub async fn admit(self: &Arc<Self>, ask: PoolRequest) -> Place {
         let now = self.clock.now();
         let (admission, receiver) = self.lock().place(|pool| pool.admit(ask, now));
         self.settle(admission, receiver).await
@@ -104,14 +104,14 @@
     ///
     /// # Errors
     /// As for `admit`, also when the retry budget is used up.
-    pub async fn retry(self: &Arc<Self>, ask: Ask) -> Place {
+    pub async fn retry(self: &Arc<Self>, ask: PoolRequest) -> Place {
         let now = self.clock.now();
         let (admission, receiver) = self.lock().place(|pool| pool.retry(ask, now));
         self.settle(admission, receiver).await
     }
 
     /// A second target for a request in flight, if the hedge budget allows one now.
-    pub fn hedge(self: &Arc<Self>, first: AttemptId, ask: Ask) -> Option<Assigned> {
+    pub fn hedge(self: &Arc<Self>, first: AttemptId, ask: PoolRequest) -> Option<Assigned> {
         let now = self.clock.now();
         let assignment = self.lock().pool.hedge(first, ask, now)?;
         Some(self.assigned(assignment))
@@ -229,8 +229,8 @@
 
     /// Hands out places with the lock released: a receiver that is gone drops its place, which
     /// takes the lock again.
-    fn deliver(self: &Arc<Self>, woken: Vec<Woken>) {
-        for Woken { ticket, resolution } in woken {
+    fn deliver(self: &Arc<Self>, woken: Vec<ResolvedTicket>) {
+        for ResolvedTicket { ticket, resolution } in woken {
             let place = match resolution {
                 Resolution::Send(assignment) => Ok(self.assigned(assignment)),
                 Resolution::Shed(shed) => Err(shed),
--- a/crates/slopes/src/pools.rs
+++ b/crates/slopes/src/pools.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use anyhow::Result;
-use shallotfork_balance::{Admission, Ask, AttemptOutcome, Pool, PoolConfig, PoolTarget};
+use shallotfork_balance::{Admission, AttemptOutcome, Pool, PoolConfig, PoolRequest, PoolTarget};
 use shallotfork_types::Mono;
 
 use crate::lists::TARGETS_PER_SERVICE;
@@ -34,7 +34,7 @@
         time("admit and finish a request", count, || {
             now_us += 1000;
             let now = Mono::from_micros(now_us);
-            let ask = Ask::new(now.plus(Duration::from_secs(1)));
+            let ask = PoolRequest::new(now.plus(Duration::from_secs(1)));
             if let Admission::Send(assignment) = pool.admit(ask, now) {
                 let outcome = AttemptOutcome::Answered { latency: Duration::from_millis(5) };
                 pool.finish(assignment.attempt, outcome, None, now);
