--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -32,8 +32,8 @@
 pub use pool_config::PoolConfig;
 pub use retry_window::{RetryAllowance, RetryWindow};
 pub use slots::{
-    Belief, BeliefChange, LoadFigures, Pace, SlotAsk, SlotOutcome, SlotPool, SlotPoolConfig,
-    SlotSummary, SlotTarget, WorkClass,
+    SlotOutcome, SlotPool, SlotPoolConfig, SlotRequest, SlotSummary, SlotTarget, Slowdown,
+    StateChange, TargetLoad, TargetStateChange, WorkClass,
 };
 pub use target::{PoolTarget, TargetState, TargetStatus};
 pub use target_config::TargetConfig;
--- a/crates/balance/src/slots/ask.rs
+++ b/crates/balance/src/slots/ask.rs
@@ -24,29 +24,29 @@
 
 /// One request's wish for a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SlotAsk {
+pub struct SlotRequest {
     /// Requests that take about as long.
     pub class: WorkClass,
     /// Rank among requests that wait; 0 goes first.
     pub rank: u32,
     /// When the request reached this process.
-    pub arrived: Mono,
+    pub arrived_at: Mono,
     /// An answer until then is worth most to the caller; already past for one that comes back
     /// late.
     pub objective: Mono,
     /// After this nobody awaits the answer.
     pub deadline: Mono,
     /// Whether its caller was refused before and came back.
-    pub returning: bool,
+    pub is_resubmitted: bool,
     /// Targets that must not be chosen, such as those that the request was already sent to.
     pub exclude: Vec<TargetId>,
 }
 
-impl SlotAsk {
+impl SlotRequest {
     /// A first attempt that arrived now.
-    pub fn new(class: WorkClass, arrived: Mono, objective: Mono, deadline: Mono) -> Self {
-        let (rank, returning, exclude) = (0, false, Vec::new());
-        Self { class, rank, arrived, objective, deadline, returning, exclude }
+    pub fn new(class: WorkClass, arrived_at: Mono, objective: Mono, deadline: Mono) -> Self {
+        let (rank, is_resubmitted, exclude) = (0, false, Vec::new());
+        Self { class, rank, arrived_at, objective, deadline, is_resubmitted, exclude }
     }
 
     /// Sets the rank.
@@ -58,8 +58,8 @@
 
     /// Says that the caller was refused before.
     #[must_use]
-    pub fn with_returning(mut self, returning: bool) -> Self {
-        self.returning = returning;
+    pub fn with_resubmitted(mut self, is_resubmitted: bool) -> Self {
+        self.is_resubmitted = is_resubmitted;
         self
     }
 
--- a/crates/balance/src/slots/estimate.rs
+++ b/crates/balance/src/slots/estimate.rs
@@ -41,11 +41,11 @@
 
 /// How long work takes at a target now, in thousandths of the usual time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Pace(u32);
+pub struct Slowdown(u32);
 
-impl Pace {
+impl Slowdown {
     /// The usual pace.
-    pub const USUAL: Self = Self(1000);
+    pub const NONE: Self = Self(1000);
 
     /// Wraps thousandths of the usual time.
     pub fn new(permille: u32) -> Self {
@@ -58,13 +58,13 @@
     }
 }
 
-impl fmt::Display for Pace {
+impl fmt::Display for Slowdown {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}‰", self.0)
     }
 }
 
-impl FromStr for Pace {
+impl FromStr for Slowdown {
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
@@ -169,7 +169,7 @@
         self.pace
     }
 
-    pub(super) fn saw_pace(&mut self, pace: Pace) {
+    pub(super) fn saw_pace(&mut self, pace: Slowdown) {
         self.has_paces = Some(true);
         self.pace += (pace.factor() - self.pace) * PACE_WEIGHT;
     }
@@ -195,7 +195,7 @@
 /// A target's last word on its pace.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PaceReport {
-    pub(super) pace: Pace,
+    pub(super) pace: Slowdown,
     pub(super) at: Mono,
 }
 
--- a/crates/balance/src/slots/limits.rs
+++ b/crates/balance/src/slots/limits.rs
@@ -91,7 +91,7 @@
 
     /// Takes a target's own word on how much longer it is cold. Returns whether it was taken for warm
     /// until now.
-    pub fn told_cold_for(&mut self, id: &TargetId, cold_for: Duration, now: Mono) -> bool {
+    pub fn record_cold_report(&mut self, id: &TargetId, cold_for: Duration, now: Mono) -> bool {
         let cold_max = self.cold_max();
         let Some(target) = self.targets.get_mut(id) else { return false };
         let was_cold = target.is_cold(now);
--- a/crates/balance/src/slots/mod.rs
+++ b/crates/balance/src/slots/mod.rs
@@ -19,9 +19,9 @@
 mod wait;
 mod wake;
 
-pub use ask::{SlotAsk, WorkClass};
+pub use ask::{SlotRequest, WorkClass};
 pub use config::SlotPoolConfig;
-pub use estimate::Pace;
+pub use estimate::Slowdown;
 pub use pool::SlotPool;
-pub use published::{Belief, BeliefChange, LoadFigures, SlotOutcome, SlotTarget};
+pub use published::{SlotOutcome, SlotTarget, StateChange, TargetLoad, TargetStateChange};
 pub use summary::SlotSummary;
--- a/crates/balance/src/slots/pool.rs
+++ b/crates/balance/src/slots/pool.rs
@@ -8,10 +8,10 @@
 use super::config::SlotPoolConfig;
 use super::estimate::Learnt;
 use super::probe_budget::ProbeBudget;
-use super::published::{Belief, LoadFigures, SlotOutcome, SlotTarget};
+use super::published::{SlotOutcome, SlotTarget, TargetLoad, TargetStateChange};
 use super::queue::SlotQueue;
 use super::target::Target;
-use super::{SlotAsk, WorkClass};
+use super::{SlotRequest, WorkClass};
 use crate::{Admission, Assignment, AttemptId, Shed, ShedReason, Ticket, Woken};
 
 /// Beyond this, what did not come in time may have come; a timer is a millisecond or two late.
@@ -35,8 +35,8 @@
 
 /// A target that answers a request still counts it as running. Taken for a request of another
 /// process, it would make the target look half full for as long as the report counts.
-fn without_the_answered(figures: LoadFigures) -> LoadFigures {
-    LoadFigures { running: figures.running.saturating_sub(1), ..figures }
+fn without_the_answered(figures: TargetLoad) -> TargetLoad {
+    TargetLoad { running: figures.running.saturating_sub(1), ..figures }
 }
 
 /// Decides for one service which request goes to which target, and when.
@@ -56,7 +56,7 @@
     pub(super) queue: SlotQueue,
     pub(super) learnt: Learnt,
     /// Changes of belief that nobody has taken yet.
-    beliefs: Vec<Belief>,
+    beliefs: Vec<TargetStateChange>,
     /// Names of the processes that callers are sent to, which send requests to these targets.
     pub(super) sharers: Vec<String>,
     /// The part of what cold targets bear that these processes may use.
@@ -75,7 +75,7 @@
 impl SlotPool {
     /// A pool without targets.
     pub fn new(config: SlotPoolConfig) -> Self {
-        let learnt = Learnt::new(config.first_guess);
+        let learnt = Learnt::new(config.initial_work_time);
         Self {
             config,
             targets: BTreeMap::new(),
@@ -140,14 +140,14 @@
     }
 
     /// Forgets what is known of a target that has started again.
-    pub fn restarted(&mut self, id: &TargetId, now: Mono) {
+    pub fn reset_target(&mut self, id: &TargetId, now: Mono) {
         let Some(old) = self.targets.remove(id) else { return };
         self.targets.insert(id.clone(), Target::new(old.published, &self.config, now));
         self.add_warmup_shares(now);
     }
 
     /// Decides about a request.
-    pub fn admit(&mut self, ask: SlotAsk, now: Mono) -> Admission {
+    pub fn admit(&mut self, ask: SlotRequest, now: Mono) -> Admission {
         if ask.deadline <= now {
             return Admission::Shed(self.shed(ShedReason::DeadlinePassed, now));
         }
@@ -177,12 +177,12 @@
     }
 
     /// The refusal of a request that targets have turned away.
-    pub fn refusal(&self, now: Mono) -> Shed {
+    pub fn shed_no_target(&self, now: Mono) -> Shed {
         self.shed(ShedReason::NoTarget, now)
     }
 
     /// A second target for a request that is in flight, if one is free now.
-    pub fn spare(&mut self, ask: &SlotAsk, now: Mono) -> Option<Assignment> {
+    pub fn assign_hedge(&mut self, ask: &SlotRequest, now: Mono) -> Option<Assignment> {
         if !self.queue.is_empty() {
             return None;
         }
@@ -194,14 +194,14 @@
         &mut self,
         attempt: AttemptId,
         outcome: SlotOutcome,
-        figures: Option<LoadFigures>,
+        figures: Option<TargetLoad>,
         now: Mono,
     ) -> Vec<Woken> {
         let Some(id) = self.attempts.remove(&attempt) else { return Vec::new() };
         if let Some(target) = self.targets.get_mut(&id) {
             if let Some(running) = target.end(attempt) {
                 let change = target.learn(&running, outcome, &self.config, &mut self.learnt, now);
-                let belief = change.map(|change| Belief { target: id.clone(), change });
+                let belief = change.map(|change| TargetStateChange { target: id.clone(), change });
                 self.beliefs.extend(belief);
             }
             if let Some(figures) = figures {
@@ -214,7 +214,7 @@
     }
 
     /// Takes a target's account of its load that came with a probe's answer.
-    pub fn report(&mut self, id: &TargetId, figures: LoadFigures, now: Mono) -> Vec<Woken> {
+    pub fn record_load(&mut self, id: &TargetId, figures: TargetLoad, now: Mono) -> Vec<Woken> {
         let Some(target) = self.targets.get_mut(id) else { return Vec::new() };
         target.is_silent = false;
         target.report(figures, &mut self.learnt, now);
@@ -234,7 +234,7 @@
 
     /// When to call `expire` next; `None` while nothing waits.
     pub fn next_expiry(&self, now: Mono) -> Option<Mono> {
-        let ends = self.queue.iter().map(|(_, ask)| self.wait_end(ask, ask.arrived));
+        let ends = self.queue.iter().map(|(_, ask)| self.wait_end(ask, ask.arrived_at));
         let first = ends.min()?;
         let returning = self.targets.values().filter_map(Target::ejected_until);
         let returning = returning.filter(|until| *until > now).min();
@@ -242,18 +242,18 @@
     }
 
     /// Whether a target should be asked for its pace before a request is sent to it.
-    pub fn wants_check(&self, id: &TargetId, now: Mono) -> bool {
-        let SlotPoolConfig { check_after, check_cold_after, .. } = self.config;
+    pub fn needs_probe(&self, id: &TargetId, now: Mono) -> bool {
+        let SlotPoolConfig { load_max_age, cold_report_max_age, .. } = self.config;
         let Some(target) = self.targets.get(id) else { return false };
-        let is_stale = target.pace_is_stale(now, check_after)
-            || self.warmup.is_some() && target.may_have_turned_cold(now, check_cold_after);
+        let is_stale = target.pace_is_stale(now, load_max_age)
+            || self.warmup.is_some() && target.may_have_turned_cold(now, cold_report_max_age);
         self.learnt.may_have_paces() && target.rate_share.is_none() && is_stale
     }
 
     /// Whether another slot than the one assigned, or a later one, is better: the target takes no new
     /// work any more, has turned cold, works slowly now by its own word, or is filled by other
     /// processes.
-    pub fn is_unfit(&self, assignment: &Assignment, ask: &SlotAsk, now: Mono) -> bool {
+    pub fn is_unfit(&self, assignment: &Assignment, ask: &SlotRequest, now: Mono) -> bool {
         let Some(target) = self.targets.get(&assignment.target) else { return true };
         !target.published.serving
             || target.was_assigned_warm(assignment.attempt)
@@ -262,12 +262,12 @@
     }
 
     /// A target answered without telling its load. If none has ever told it, none is asked again.
-    pub fn untold(&mut self) {
+    pub fn record_missing_load(&mut self) {
         self.learnt.untold();
     }
 
     /// An attempt leaves for its target now. Returns whether the target is cold.
-    pub fn sending(&mut self, attempt: AttemptId, now: Mono) -> bool {
+    pub fn mark_sent(&mut self, attempt: AttemptId, now: Mono) -> bool {
         let Some(id) = self.attempts.get(&attempt) else { return false };
         let Some(target) = self.targets.get_mut(id) else { return false };
         target.sending(attempt, now, &self.config, &self.learnt);
@@ -276,7 +276,7 @@
 
     /// A target has not answered soon when it was asked for its load. It most likely has no slot for
     /// the question; until it answers, others are chosen before it.
-    pub fn unanswered(&mut self, id: &TargetId) {
+    pub fn record_unanswered_probe(&mut self, id: &TargetId) {
         self.learnt.saw_question(false);
         if let Some(target) = self.targets.get_mut(id) {
             target.is_silent = true;
@@ -284,7 +284,7 @@
     }
 
     /// A target has answered soon when it was asked for its load.
-    pub fn answered_soon(&mut self) {
+    pub fn record_prompt_probe(&mut self) {
         self.learnt.saw_question(true);
     }
 
@@ -297,7 +297,7 @@
     }
 
     /// A target has answered a question about its load without telling it.
-    pub fn probe_answered(&mut self, id: &TargetId) {
+    pub fn record_probe_without_load(&mut self, id: &TargetId) {
         if let Some(target) = self.targets.get_mut(id) {
             target.is_silent = false;
         }
@@ -308,12 +308,13 @@
     ///
     /// A process that is short of processor time finds no answer in time although all have come.
     /// Right after a loss of all entries that would leave out sound targets by the dozen.
-    pub fn probe_failed(&mut self, id: &TargetId, late_by: Duration, now: Mono) {
+    pub fn record_failed_probe(&mut self, id: &TargetId, late_by: Duration, now: Mono) {
         let Some(target) = self.targets.get_mut(id) else { return };
         target.is_silent = false;
         if late_by <= OWN_LATENESS_MAX {
             let change = target.probe_failed(&self.config, now);
-            self.beliefs.extend(change.map(|change| Belief { target: id.clone(), change }));
+            self.beliefs
+                .extend(change.map(|change| TargetStateChange { target: id.clone(), change }));
         }
     }
 
@@ -347,7 +348,7 @@
     }
 
     /// What has changed in the beliefs about targets since the last call.
-    pub fn take_beliefs(&mut self) -> Vec<Belief> {
+    pub fn take_state_changes(&mut self) -> Vec<TargetStateChange> {
         std::mem::take(&mut self.beliefs)
     }
 
@@ -372,13 +373,13 @@
         Duration::from_micros((self.learnt.work_us(class) * self.learnt.mean_pace()) as u64)
     }
 
-    pub(super) fn has_target_for(&self, ask: &SlotAsk, now: Mono) -> bool {
+    pub(super) fn has_target_for(&self, ask: &SlotRequest, now: Mono) -> bool {
         self.targets.iter().any(|(id, t)| t.accepts_work(now) && !ask.exclude.contains(id))
     }
 
     pub(super) fn assign(
         &mut self,
-        ask: &SlotAsk,
+        ask: &SlotRequest,
         choice: Choice,
         now: Mono,
     ) -> Option<Assignment> {
@@ -388,7 +389,7 @@
     /// A slot of the best target, or of one only.
     pub(super) fn assign_among(
         &mut self,
-        ask: &SlotAsk,
+        ask: &SlotRequest,
         choice: Choice,
         only: Option<&TargetId>,
         now: Mono,
@@ -423,7 +424,7 @@
     /// For a request that has waited long enough: a slow slot is better than none, unless more
     /// requests wait than slots are free. Then each slot that is used in a slow phase, for five
     /// times as long, keeps several of them waiting until they are late too.
-    pub(super) fn assign_any_or_shed(&mut self, ask: &SlotAsk, now: Mono) -> Admission {
+    pub(super) fn assign_any_or_shed(&mut self, ask: &SlotRequest, now: Mono) -> Admission {
         let choice =
             if self.queue.len() <= self.free_slots(now) { Choice::Any } else { Choice::Quick };
         match self.assign(ask, choice, now) {
--- a/crates/balance/src/slots/published.rs
+++ b/crates/balance/src/slots/published.rs
@@ -4,7 +4,7 @@
 
 use shallotfork_types::{FailureDomain, TargetId};
 
-use super::Pace;
+use super::Slowdown;
 
 /// A target as published.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 
 /// What a target says of its load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LoadFigures {
+pub struct TargetLoad {
     /// Requests that it runs.
     pub running: u32,
     /// Requests that wait at it.
@@ -31,7 +31,7 @@
     /// Requests that it can run at once.
     pub slots: u32,
     /// How long work takes there at this moment, if it says so.
-    pub pace: Option<Pace>,
+    pub slowdown: Option<Slowdown>,
 }
 
 /// How an attempt ended.
@@ -58,16 +58,16 @@
 
 /// A change of what a pool thinks of a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Belief {
+pub struct TargetStateChange {
     /// The target.
     pub target: TargetId,
     /// What has changed.
-    pub change: BeliefChange,
+    pub change: StateChange,
 }
 
 /// What has changed in the belief about a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BeliefChange {
+pub enum StateChange {
     /// It is left out for a while.
     Ejected {
         /// Failures in a row that decided it.
--- a/crates/balance/src/slots/queue.rs
+++ b/crates/balance/src/slots/queue.rs
@@ -2,22 +2,22 @@
 
 use std::collections::BTreeMap;
 
-use super::SlotAsk;
+use super::SlotRequest;
 use crate::Ticket;
 
 /// Waiting requests by ticket; the order of service is worked out when a slot is free, because it
 /// depends on who can still be answered in good time then.
 #[derive(Debug, Default)]
 pub(super) struct SlotQueue {
-    waiting: BTreeMap<Ticket, SlotAsk>,
+    waiting: BTreeMap<Ticket, SlotRequest>,
 }
 
 impl SlotQueue {
-    pub(super) fn push(&mut self, ticket: Ticket, ask: SlotAsk) {
+    pub(super) fn push(&mut self, ticket: Ticket, ask: SlotRequest) {
         self.waiting.insert(ticket, ask);
     }
 
-    pub(super) fn remove(&mut self, ticket: Ticket) -> Option<SlotAsk> {
+    pub(super) fn remove(&mut self, ticket: Ticket) -> Option<SlotRequest> {
         self.waiting.remove(&ticket)
     }
 
@@ -29,7 +29,7 @@
         self.waiting.is_empty()
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = (Ticket, &SlotAsk)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (Ticket, &SlotRequest)> {
         self.waiting.iter().map(|(ticket, ask)| (*ticket, ask))
     }
 }
--- a/crates/balance/src/slots/summary.rs
+++ b/crates/balance/src/slots/summary.rs
@@ -27,9 +27,9 @@
     /// Free slots at targets that are neither ejected nor overdue.
     pub free_slots: usize,
     /// How much longer runs take on crowded targets.
-    pub crowding: f64,
+    pub saturation_slowdown: f64,
     /// Mean of the paces that targets tell; 1 is the usual one.
-    pub mean_pace: f64,
+    pub mean_slowdown: f64,
     /// Mean time of a request at a target of usual speed and pace.
     pub usual_time: Duration,
 }
@@ -49,8 +49,8 @@
             overdue: count(&|target| target.is_overdue(now, &self.config)),
             full: count(&|target| target.free_slots(now, &self.learnt) == 0),
             free_slots: self.free_slots(now),
-            crowding: self.learnt.slowdown(),
-            mean_pace: self.learnt.mean_pace(),
+            saturation_slowdown: self.learnt.slowdown(),
+            mean_slowdown: self.learnt.mean_pace(),
             usual_time: Duration::from_micros(self.learnt.usual_us() as u64),
         }
     }
--- a/crates/balance/src/slots/target.rs
+++ b/crates/balance/src/slots/target.rs
@@ -6,9 +6,9 @@
 
 use super::config::SlotPoolConfig;
 use super::estimate::{Learnt, PaceReport, uncrowded_slots};
-use super::published::{BeliefChange, LoadFigures, SlotOutcome, SlotTarget};
+use super::published::{SlotOutcome, SlotTarget, StateChange, TargetLoad};
 use super::rate_share::RateShare;
-use super::{SlotAsk, WorkClass};
+use super::{SlotRequest, WorkClass};
 use crate::AttemptId;
 
 /// Weight of a new sample in a target's own speed.
@@ -224,14 +224,14 @@
 
     /// The pace by a report that is fresh enough to be relied on.
     fn fresh_pace(&self, now: Mono, config: &SlotPoolConfig) -> Option<f64> {
-        let fresh = |report: &PaceReport| now.since(report.at) < config.check_after;
+        let fresh = |report: &PaceReport| now.since(report.at) < config.load_max_age;
         self.pace.filter(fresh).map(|report| report.pace.factor())
     }
 
     fn pace(&self, now: Mono, config: &SlotPoolConfig, learnt: &Learnt) -> f64 {
         let mean = self.mean_pace.unwrap_or(learnt.mean_pace());
         let report = self.pace;
-        report.map_or(mean, |report| report.expected(now, config.pace_memory, mean))
+        report.map_or(mean, |report| report.expected(now, config.slowdown_decay, mean))
     }
 
     /// The pace to reckon with when targets are compared. One that is not known is asked for before
@@ -250,7 +250,7 @@
     /// objective; then it waits as well, if the wait leaves it time enough.
     pub(super) fn is_slow(
         &self,
-        ask: &SlotAsk,
+        ask: &SlotRequest,
         now: Mono,
         config: &SlotPoolConfig,
         learnt: &Learnt,
@@ -260,7 +260,7 @@
         }
         let usual_us = learnt.work_us(&ask.class);
         let now_us = usual_us * self.pace(now, config, learnt);
-        let phase_us = config.pace_memory.as_micros() as f64;
+        let phase_us = config.slowdown_decay.as_micros() as f64;
         let left_us = ask.objective.since(now).as_micros() as f64;
         let too_late = now_us > left_us && usual_us * WAIT_MARGIN < left_us;
         now_us - usual_us > phase_us || too_late
@@ -275,7 +275,7 @@
     /// The expected time with the risk of a failure added, by which targets are compared.
     pub(super) fn cost_us(
         &self,
-        ask: &SlotAsk,
+        ask: &SlotRequest,
         now: Mono,
         config: &SlotPoolConfig,
         learnt: &Learnt,
@@ -287,13 +287,13 @@
     }
 
     fn far_cost_us(&self, class: &WorkClass, config: &SlotPoolConfig, learnt: &Learnt) -> f64 {
-        let cost = f64::from(config.far_cost_permille) / 1000.0;
+        let cost = f64::from(config.cross_domain_cost_permille) / 1000.0;
         if self.is_far(config) { learnt.work_us(class) * cost } else { 0.0 }
     }
 
     /// Whether it stands in another failure domain than this process.
     pub(super) fn is_far(&self, config: &SlotPoolConfig) -> bool {
-        config.near.as_ref().is_some_and(|near| *near != self.published.failure_domain)
+        config.failure_domain.as_ref().is_some_and(|near| *near != self.published.failure_domain)
     }
 
     pub(super) fn start(&mut self, attempt: AttemptId, class: &WorkClass, now: Mono) {
@@ -353,7 +353,7 @@
         config: &SlotPoolConfig,
         learnt: &mut Learnt,
         now: Mono,
-    ) -> Option<BeliefChange> {
+    ) -> Option<StateChange> {
         match outcome {
             SlotOutcome::Answered { latency } => self.answered(running, latency, learnt),
             SlotOutcome::Cancelled => None,
@@ -372,7 +372,7 @@
         running: &Running,
         latency: Duration,
         learnt: &mut Learnt,
-    ) -> Option<BeliefChange> {
+    ) -> Option<StateChange> {
         let returned = self.ejections > 0;
         self.failures -= self.failures * FAILURE_WEIGHT;
         self.failures_in_row = 0;
@@ -382,7 +382,7 @@
         if let Some(pace) = running.pace {
             self.measure(running, latency, pace, learnt);
         }
-        returned.then_some(BeliefChange::Returned)
+        returned.then_some(StateChange::Returned)
     }
 
     fn measure(&mut self, running: &Running, latency: Duration, pace: f64, learnt: &mut Learnt) {
@@ -403,23 +403,23 @@
         tolerated: u32,
         config: &SlotPoolConfig,
         now: Mono,
-    ) -> Option<BeliefChange> {
+    ) -> Option<StateChange> {
         self.failures += (1.0 - self.failures) * FAILURE_WEIGHT;
         self.failures_in_row += 1;
         // Attempts that were under way when it was left out say nothing new.
         if self.failures_in_row < tolerated || self.is_ejected(now) {
             return None;
         }
-        let pause = config.ejection * 2u32.pow(self.ejections.min(DOUBLINGS_MAX));
+        let pause = config.ejection_initial * 2u32.pow(self.ejections.min(DOUBLINGS_MAX));
         let pause = pause.min(config.ejection_max);
         self.ejections += 1;
         self.ejected_until = Some(now.plus(pause));
-        Some(BeliefChange::Ejected { failures: self.failures_in_row, pause })
+        Some(StateChange::Ejected { failures: self.failures_in_row, pause })
     }
 
     /// Takes a report of a moment at which only the requests counted here were at the target.
-    pub(super) fn report(&mut self, figures: LoadFigures, learnt: &mut Learnt, now: Mono) {
-        if let Some(pace) = figures.pace {
+    pub(super) fn report(&mut self, figures: TargetLoad, learnt: &mut Learnt, now: Mono) {
+        if let Some(pace) = figures.slowdown {
             self.pace = Some(PaceReport { pace, at: now });
             let mean = self.mean_pace.unwrap_or(learnt.mean_pace());
             self.mean_pace = Some(mean + (pace.factor() - mean) * PACE_WEIGHT);
@@ -439,7 +439,7 @@
         &mut self,
         config: &SlotPoolConfig,
         now: Mono,
-    ) -> Option<BeliefChange> {
+    ) -> Option<StateChange> {
         self.failed(PROBES_FAILED_MAX, config, now)
     }
 
@@ -452,8 +452,8 @@
         learnt: &Learnt,
         has_share: bool,
     ) -> bool {
-        let stale = |at: Mono| now.since(at) >= config.probe_after;
-        let unknown = self.pace_is_stale(now, config.probe_after);
+        let stale = |at: Mono| now.since(at) >= config.probe_interval;
+        let unknown = self.pace_is_stale(now, config.probe_interval);
         let due = self.probed_at.is_none_or(stale);
         unknown
             && due
--- a/crates/balance/src/slots/wait.rs
+++ b/crates/balance/src/slots/wait.rs
@@ -5,7 +5,7 @@
 use shallotfork_types::{Mono, TargetId};
 
 use super::target::Target;
-use super::{SlotAsk, SlotPool};
+use super::{SlotPool, SlotRequest};
 use crate::{Shed, ShedReason};
 
 /// Multiple of its usual time for which a request must still have time when its wait ends.
@@ -14,15 +14,15 @@
 impl SlotPool {
     /// Whether the request could still be answered within its objective by a target of usual
     /// speed.
-    pub(super) fn is_in_time(&self, ask: &SlotAsk, now: Mono) -> bool {
+    pub(super) fn is_in_time(&self, ask: &SlotRequest, now: Mono) -> bool {
         now.plus(Duration::from_micros(self.learnt.work_us(&ask.class) as u64)) <= ask.objective
     }
 
-    pub(super) fn order(&self, ask: &SlotAsk, now: Mono) -> (bool, bool, u32, Mono) {
-        (!self.is_in_time(ask, now), !ask.returning, ask.rank, ask.arrived)
+    pub(super) fn order(&self, ask: &SlotRequest, now: Mono) -> (bool, bool, u32, Mono) {
+        (!self.is_in_time(ask, now), !ask.is_resubmitted, ask.rank, ask.arrived_at)
     }
 
-    pub(super) fn goes_before(&self, other: &SlotAsk, ask: &SlotAsk, now: Mono) -> bool {
+    pub(super) fn goes_before(&self, other: &SlotRequest, ask: &SlotRequest, now: Mono) -> bool {
         self.order(other, now) <= self.order(ask, now)
     }
 
@@ -30,22 +30,22 @@
     /// objective. Refused sooner, it comes back too late for that; it is refused at once if its turn
     /// is not expected by then. A shorter wait would give up requests that can still be
     /// in time.
-    pub(super) fn wait_end(&self, ask: &SlotAsk, now: Mono) -> Mono {
+    pub(super) fn wait_end(&self, ask: &SlotRequest, now: Mono) -> Mono {
         let work = Duration::from_micros(self.learnt.work_us(&ask.class) as u64);
-        let until_objective = ask.objective.since(ask.arrived);
-        let until_deadline = ask.deadline.since(ask.arrived);
-        let late = ask.arrived.plus(until_deadline * self.config.late_wait_permille / 1000);
-        if ask.returning || !self.is_in_time(ask, now) {
+        let until_objective = ask.objective.since(ask.arrived_at);
+        let until_deadline = ask.deadline.since(ask.arrived_at);
+        let late = ask.arrived_at.plus(until_deadline * self.config.late_wait_permille / 1000);
+        if ask.is_resubmitted || !self.is_in_time(ask, now) {
             return late;
         }
         let slack = until_objective.saturating_sub(work.mul_f64(SERVICE_MARGIN));
-        ask.arrived.plus(slack)
+        ask.arrived_at.plus(slack)
     }
 
     /// How long a request with so many ahead of it waits for a slot. One that is free now, though in
     /// a slow phase, is waited for on trust; for the others Little's law holds: with all slots
     /// taken, one gets free every (usual time / slots).
-    pub(super) fn expected_wait(&self, ahead: usize, ask: &SlotAsk, now: Mono) -> Duration {
+    pub(super) fn expected_wait(&self, ahead: usize, ask: &SlotRequest, now: Mono) -> Duration {
         let usable = |(id, target): &(&TargetId, &Target)| {
             let good = target.looks_sound(now, &self.config);
             target.published.serving && good && !ask.exclude.contains(id)
--- a/crates/balance/src/slots/wake.rs
+++ b/crates/balance/src/slots/wake.rs
@@ -5,7 +5,7 @@
 use shallotfork_types::{Mono, TargetId};
 
 use super::pool::Choice;
-use super::{SlotAsk, SlotPool, WorkClass};
+use super::{SlotPool, SlotRequest, WorkClass};
 use crate::{Admission, Resolution, ShedReason, Ticket, Woken};
 
 impl SlotPool {
@@ -71,7 +71,7 @@
         woken
     }
 
-    fn resolve(&mut self, ask: &SlotAsk, hopeless: bool, now: Mono) -> Option<Resolution> {
+    fn resolve(&mut self, ask: &SlotRequest, hopeless: bool, now: Mono) -> Option<Resolution> {
         if ask.deadline <= now {
             return Some(Resolution::Shed(self.shed(ShedReason::DeadlinePassed, now)));
         }
--- a/crates/balance/tests/cold_targets.rs
+++ b/crates/balance/tests/cold_targets.rs
@@ -124,19 +124,19 @@
     pool.set_warmup(warmup(3_000), at(0));
     let assignment = sent(pool.admit(ask(0), at(0)));
     assert!(!pool.is_unfit(&assignment, &ask(0), at(1)));
-    assert!(pool.told_cold_for(&id(TARGET), Duration::from_millis(900), at(1)));
+    assert!(pool.record_cold_report(&id(TARGET), Duration::from_millis(900), at(1)));
     assert!(pool.is_unfit(&assignment, &ask(0), at(1)));
     pool.finish(assignment.attempt, shallotfork_balance::SlotOutcome::Cancelled, None, at(2));
     // Its first request waits until the share allows it, and needs no second thought then.
     queued(pool.admit(ask(2), at(2)));
     let again = sent(pool.admit(ask(400), at(400)));
     assert!(!pool.is_unfit(&again, &ask(400), at(401)));
-    pool.sending(again.attempt, at(401));
+    pool.mark_sent(again.attempt, at(401));
     pool.finish(again.attempt, answered(), None, at(420));
     assert!(!pool.is_cold(&id(TARGET), at(902)));
     for now_ms in 902..906 {
         let free = sent(pool.admit(ask(now_ms), at(now_ms)));
-        pool.sending(free.attempt, at(now_ms));
+        pool.mark_sent(free.attempt, at(now_ms));
         pool.finish(free.attempt, answered(), None, at(now_ms));
     }
 }
@@ -148,15 +148,15 @@
     let mut pool = named_pool("vm-0", &[TARGET]);
     pool.set_sharers(vec!["vm-0".to_owned()], WHOLE, at(0));
     pool.set_warmup(warmup(3_000), at(0));
-    pool.told_cold_for(&id(TARGET), Duration::ZERO, at(0));
+    pool.record_cold_report(&id(TARGET), Duration::ZERO, at(0));
     let mut unasked = 0;
     for now_ms in (0..1_000).step_by(8) {
         let assignment = sent(pool.admit(ask(now_ms), at(now_ms)));
-        if pool.wants_check(&id(TARGET), at(now_ms)) {
-            pool.told_cold_for(&id(TARGET), Duration::ZERO, at(now_ms));
+        if pool.needs_probe(&id(TARGET), at(now_ms)) {
+            pool.record_cold_report(&id(TARGET), Duration::ZERO, at(now_ms));
             unasked = 0;
         }
-        pool.sending(assignment.attempt, at(now_ms));
+        pool.mark_sent(assignment.attempt, at(now_ms));
         unasked += 1;
         pool.finish(assignment.attempt, answered(), Some(figures(1, 100)), at(now_ms + 5));
         assert!(unasked <= allowed_in_window() / 2, "{unasked} requests since it was asked");
@@ -170,7 +170,7 @@
     pool.set_warmup(warmup(3_000), at(0));
     pool.set_targets(vec![cold(TARGET, 500)], at(0));
     assert!(pool.is_cold(&id(TARGET), at(499)));
-    pool.told_cold_for(&id(TARGET), Duration::from_millis(2_800), at(300));
+    pool.record_cold_report(&id(TARGET), Duration::from_millis(2_800), at(300));
     pool.set_targets(vec![cold(TARGET, 0)], at(600));
     assert!(pool.is_cold(&id(TARGET), at(3_000)));
     // Published as cold again later, it is cold again.
@@ -186,7 +186,7 @@
     pool.set_warmup(warmup(3_000), at(0));
     pool.set_targets(vec![cold(TARGET, 3_600_000)], at(0));
     assert!(!pool.is_cold(&id(TARGET), at(3_000)));
-    pool.told_cold_for(&id(TARGET), Duration::from_secs(3_600), at(4_000));
+    pool.record_cold_report(&id(TARGET), Duration::from_secs(3_600), at(4_000));
     assert!(!pool.is_cold(&id(TARGET), at(7_000)));
 }
 
@@ -212,9 +212,9 @@
     let mut pool = cold_pool("vm-0", &[TARGET]);
     pool.set_sharers(vec!["vm-0".to_owned()], WHOLE, at(0));
     let before = pool.usual_time(&ask(0).class);
-    pool.report(&id(TARGET), figures(0, 1000), at(1_000));
+    pool.record_load(&id(TARGET), figures(0, 1000), at(1_000));
     let assignment = sent(pool.admit(ask(1_000), at(1_000)));
-    pool.sending(assignment.attempt, at(1_000));
+    pool.mark_sent(assignment.attempt, at(1_000));
     pool.finish(assignment.attempt, answered(), Some(figures(1, 1000)), at(1_400));
     assert_eq!(pool.usual_time(&ask(0).class), before);
 }
--- a/crates/balance/tests/rate_limits.rs
+++ b/crates/balance/tests/rate_limits.rs
@@ -110,5 +110,5 @@
         assert_eq!(assignment.target, id("press"));
         pool.finish(assignment.attempt, answered(), None, at(now_ms + 50));
     }
-    assert!(!pool.wants_check(&id(TARGET), at(2_000)));
+    assert!(!pool.needs_probe(&id(TARGET), at(2_000)));
 }
--- a/crates/balance/tests/slots.rs
+++ b/crates/balance/tests/slots.rs
@@ -10,8 +10,8 @@
 
 use quickcheck::QuickCheck;
 use shallotfork_balance::{
-    Admission, Assignment, Resolution, RetryAllowance, RetryWindow, ShedReason, SlotAsk,
-    SlotOutcome, SlotPool, SlotTarget, Ticket, Woken,
+    Admission, Assignment, Resolution, RetryAllowance, RetryWindow, ShedReason, SlotOutcome,
+    SlotPool, SlotRequest, SlotTarget, Ticket, Woken,
 };
 use shallotfork_types::Permille;
 
@@ -42,7 +42,7 @@
 fn the_answered_request_is_not_taken_for_another_process_s() {
     let mut pool = pool(&["a", "b"]);
     let first = sent(pool.admit(ask(0), at(0)));
-    pool.sending(first.attempt, at(0));
+    pool.mark_sent(first.attempt, at(0));
     pool.finish(first.attempt, answered(), Some(figures(1, USUAL)), at(160));
     let mut again: Vec<String> =
         (0..2).map(|_| sent(pool.admit(ask(170), at(170))).target.to_string()).collect();
@@ -57,10 +57,10 @@
 fn a_slot_in_a_slow_phase_is_left_free_until_the_phase_ends() {
     let mut pool = pool(&["a"]);
     learn_work(&mut pool, "a");
-    pool.report(&id("a"), figures(0, SLOW), at(1000));
+    pool.record_load(&id("a"), figures(0, SLOW), at(1000));
     let ticket = queued(pool.admit(ask(1001), at(1001)));
     assert_eq!(pool.due_probes(at(1030)), [id("a")]);
-    let woken = pool.report(&id("a"), figures(0, USUAL), at(1031));
+    let woken = pool.record_load(&id("a"), figures(0, USUAL), at(1031));
     assert_eq!(woken.iter().map(|w| w.ticket).collect::<Vec<_>>(), [ticket]);
     assert_eq!(target_of(&woken[0]), Some("a"));
 }
@@ -71,9 +71,9 @@
 fn a_slow_slot_is_used_when_waiting_for_a_better_one_has_taken_too_long() {
     let mut pool = pool(&["a"]);
     learn_work(&mut pool, "a");
-    pool.report(&id("a"), figures(0, SLOW), at(1000));
+    pool.record_load(&id("a"), figures(0, SLOW), at(1000));
     queued(pool.admit(ask(1001), at(1001)));
-    pool.report(&id("a"), figures(0, SLOW), at(1050));
+    pool.record_load(&id("a"), figures(0, SLOW), at(1050));
     let due = pool.next_expiry(at(1050)).unwrap();
     let woken = pool.expire(due);
     assert_eq!(target_of(&woken[0]), Some("a"));
@@ -106,11 +106,11 @@
     let now = 1000;
     let running = [0, 1].map(|_| sent(pool.admit(ask(now), at(now))));
     for assignment in &running {
-        pool.sending(assignment.attempt, at(now));
+        pool.mark_sent(assignment.attempt, at(now));
     }
     let patient = |returning: bool| {
-        let ask = ask(now).with_returning(returning);
-        SlotAsk { objective: at(now + 5000), ..ask }
+        let ask = ask(now).with_resubmitted(returning);
+        SlotRequest { objective: at(now + 5000), ..ask }
     };
     queued(pool.admit(patient(false), at(now)));
     let returning = queued(pool.admit(patient(true), at(now + 1)));
@@ -231,9 +231,11 @@
                 let outcome = if action > 200 { SlotOutcome::Failed } else { answered() };
                 self.pool.finish(ended.attempt, outcome, Some(figures(1, USUAL)), now)
             }
-            4 => {
-                self.pool.report(&id("a"), figures(0, if action > 100 { SLOW } else { USUAL }), now)
-            }
+            4 => self.pool.record_load(
+                &id("a"),
+                figures(0, if action > 100 { SLOW } else { USUAL }),
+                now,
+            ),
             _ => self.pool.expire(now),
         };
         self.take(woken)
@@ -276,8 +278,8 @@
 fn a_short_request_waits_if_only_that_keeps_its_objective() {
     let mut pool = pool(&["a"]);
     learn_work(&mut pool, "a");
-    pool.report(&id("a"), figures(0, 1800), at(1000));
-    let objective = |ms: u64| SlotAsk { objective: at(1000 + ms), ..ask(1000) };
+    pool.record_load(&id("a"), figures(0, 1800), at(1000));
+    let objective = |ms: u64| SlotRequest { objective: at(1000 + ms), ..ask(1000) };
     queued(pool.admit(objective(250), at(1000)));
     assert_eq!(sent(pool.admit(objective(800), at(1000))).target, id("a"));
 }
@@ -302,9 +304,9 @@
 fn a_target_that_others_have_filled_is_unfit() {
     let mut pool = pool(&["a"]);
     let assignment = sent(pool.admit(ask(0), at(0)));
-    pool.report(&id("a"), figures(1, USUAL), at(1));
+    pool.record_load(&id("a"), figures(1, USUAL), at(1));
     assert!(!pool.is_unfit(&assignment, &ask(0), at(1)));
-    pool.report(&id("a"), figures(2, USUAL), at(2));
+    pool.record_load(&id("a"), figures(2, USUAL), at(2));
     assert!(pool.is_unfit(&assignment, &ask(0), at(2)));
 }
 
@@ -316,7 +318,7 @@
     learn_work(&mut pool, "a");
     let running = [0, 1].map(|_| sent(pool.admit(ask(1000), at(1000))));
     for assignment in &running {
-        pool.sending(assignment.attempt, at(1000));
+        pool.mark_sent(assignment.attempt, at(1000));
     }
     let ticket = queued(pool.admit(ask(1000), at(1000)));
     assert_eq!(pool.expire(at(1150)), []);
--- a/crates/balance/tests/slots_asked.rs
+++ b/crates/balance/tests/slots_asked.rs
@@ -28,8 +28,8 @@
     for latency in [150, 170, 200, 190, 210, 160, 200, 180] {
         let assignment = sent(pool.admit(ask(0), at(0)));
         assert_eq!(assignment.target, id("near"));
-        pool.report(&id("near"), figures(0, USUAL), at(0));
-        pool.sending(assignment.attempt, at(0));
+        pool.record_load(&id("near"), figures(0, USUAL), at(0));
+        pool.mark_sent(assignment.attempt, at(0));
         let latency = Duration::from_millis(latency);
         pool.finish(assignment.attempt, SlotOutcome::Answered { latency }, None, at(0));
     }
@@ -44,7 +44,7 @@
     assert_eq!(chosen, [id("near"), id("near"), id("far")]);
     let mut pool = pool_with_a_far_target();
     learn_work(&mut pool, "near");
-    pool.report(&id("near"), figures(0, SLOW), at(1000));
+    pool.record_load(&id("near"), figures(0, SLOW), at(1000));
     assert_eq!(sent(pool.admit(ask(1000), at(1000))).target, id("far"));
 }
 
@@ -57,7 +57,7 @@
     let mut pool = pool_with_a_far_target();
     pool.set_sharers(two_sharers(), Permille::new(1000), at(0));
     let _near = [(); 2].map(|()| sent(pool.admit(ask(0), at(0))));
-    pool.report(&id("far"), figures(1, USUAL), at(0));
+    pool.record_load(&id("far"), figures(1, USUAL), at(0));
     queued(pool.admit(ask(0), at(0)));
 }
 
@@ -67,7 +67,7 @@
 fn a_process_with_less_than_its_share_takes_what_is_free() {
     let mut pool = pool_with_a_far_target();
     pool.set_sharers(two_sharers(), Permille::new(1000), at(0));
-    pool.report(&id("near"), figures(2, USUAL), at(0));
+    pool.record_load(&id("near"), figures(2, USUAL), at(0));
     let chosen = [(); 2].map(|()| sent(pool.admit(ask(0), at(0))).target);
     assert_eq!(chosen, [id("far"), id("far")]);
 }
@@ -79,7 +79,7 @@
     let names: Vec<String> = (0..20).map(|number| format!("target-{number:02}")).collect();
     let mut pool = pool(&names.iter().map(String::as_str).collect::<Vec<_>>());
     learn_work(&mut pool, "target-00");
-    names.iter().for_each(|name| drop(pool.report(&id(name), figures(0, SLOW), at(1000))));
+    names.iter().for_each(|name| drop(pool.record_load(&id(name), figures(0, SLOW), at(1000))));
     let _waiting = [(); 2].map(|()| queued(pool.admit(ask(1000), at(1000))));
     let first = pool.due_probes(at(1030));
     assert_eq!(first.len(), 8);
@@ -89,7 +89,7 @@
 
 fn pool_with_a_far_target() -> SlotPool {
     let near = FailureDomain::new("near").unwrap();
-    let config = SlotPoolConfig { near: Some(near.clone()), ..SlotPoolConfig::default() };
+    let config = SlotPoolConfig { failure_domain: Some(near.clone()), ..SlotPoolConfig::default() };
     let mut pool = SlotPool::new(config);
     let near_target = SlotTarget { failure_domain: near, ..target("near") };
     pool.set_targets(vec![near_target, target("far")], at(0));
@@ -107,7 +107,7 @@
 fn a_long_queue_asks_no_more_than_answers_pay_for() {
     let names = names();
     let mut pool = pool(&names.iter().map(String::as_str).collect::<Vec<_>>());
-    names.iter().for_each(|name| drop(pool.report(&id(name), figures(0, SLOW), at(0))));
+    names.iter().for_each(|name| drop(pool.record_load(&id(name), figures(0, SLOW), at(0))));
     let queued = (0..300).filter(|_| matches!(pool.admit(ask(0), at(0)), Admission::Queued(_)));
     assert_eq!(queued.count(), 300);
     let probes = (1..84).map(|look| pool.due_probes(at(look * LOOK_MS)).len());
@@ -120,9 +120,9 @@
 fn answers_pay_for_more_questions() {
     let names = names();
     let mut pool = pool(&names.iter().map(String::as_str).collect::<Vec<_>>());
-    names.iter().for_each(|name| drop(pool.report(&id(name), figures(0, USUAL), at(0))));
+    names.iter().for_each(|name| drop(pool.record_load(&id(name), figures(0, USUAL), at(0))));
     let running = sent(pool.admit(ask(0), at(0)));
-    names.iter().for_each(|name| drop(pool.report(&id(name), figures(0, SLOW), at(0))));
+    names.iter().for_each(|name| drop(pool.record_load(&id(name), figures(0, SLOW), at(0))));
     assert!((0..100).all(|_| matches!(pool.admit(ask(0), at(0)), Admission::Queued(_))));
     let spent: usize = (0..10).map(|_| pool.due_probes(at(30)).len()).sum();
     assert!(spent >= 100, "{spent}");
--- a/crates/balance/tests/slots_crowded.rs
+++ b/crates/balance/tests/slots_crowded.rs
@@ -62,7 +62,11 @@
                 pool.finish(run.assignment.attempt, outcome, load, now);
                 answered += usize::from(now_ms >= MEASURED_FROM_MS);
             }
-            pool.report(&support::id(name), figures(u32::try_from(runs.len()).unwrap(), 1000), now);
+            pool.record_load(
+                &support::id(name),
+                figures(u32::try_from(runs.len()).unwrap(), 1000),
+                now,
+            );
         }
         let arrivals = if now_ms < CALM_MS { CALM } else { OVERLOAD };
         for _ in 0..arrivals {
@@ -74,7 +78,7 @@
                 }
                 Admission::Shed(_) => break,
             };
-            pool.sending(assignment.attempt, now);
+            pool.mark_sent(assignment.attempt, now);
             let run = Run { began_ms: now_ms, left_ms: WORK_MS, assignment };
             running.entry(run.assignment.target.to_string()).or_default().push(run);
         }
--- a/crates/balance/tests/slots_lost_domain.rs
+++ b/crates/balance/tests/slots_lost_domain.rs
@@ -6,7 +6,7 @@
 #[allow(dead_code, reason = "each test file uses its part")]
 mod support;
 
-use shallotfork_balance::{BeliefChange, SlotOutcome, SlotPool};
+use shallotfork_balance::{SlotOutcome, SlotPool, StateChange};
 
 use support::{ask, at, id, pool, queued, sent};
 
@@ -18,7 +18,7 @@
     let mut pool = pool(&[DEAD[0], DEAD[1], DEAD[2], SOUND]);
     let running: Vec<_> = (0..8).map(|_| sent(pool.admit(ask(0), at(0)))).collect();
     for assignment in &running {
-        pool.sending(assignment.attempt, at(0));
+        pool.mark_sent(assignment.attempt, at(0));
     }
     for assignment in running.iter().filter(|assignment| assignment.target != id(SOUND)) {
         pool.finish(assignment.attempt, SlotOutcome::Unreachable, None, at(10));
@@ -39,9 +39,9 @@
 #[test]
 fn requests_that_are_lost_together_count_as_one_loss() {
     let mut pool = pool_after_loss();
-    let beliefs = pool.take_beliefs();
+    let beliefs = pool.take_state_changes();
     assert_eq!(beliefs.len(), DEAD.len(), "{beliefs:?}");
-    let is_first = |change| matches!(change, BeliefChange::Ejected { failures: 1, .. });
+    let is_first = |change| matches!(change, StateChange::Ejected { failures: 1, .. });
     assert!(beliefs.iter().all(|belief| is_first(belief.change)), "{beliefs:?}");
     assert_eq!(pool.summary(at(409)).ejected, DEAD.len());
     assert_eq!(pool.summary(at(411)).ejected, 0);
--- a/crates/balance/tests/slots_silence.rs
+++ b/crates/balance/tests/slots_silence.rs
@@ -27,9 +27,9 @@
 #[test]
 fn a_target_whose_questions_fail_twice_is_left_out() {
     let mut pool = pool(&[MILL]);
-    pool.probe_failed(&mill(), Duration::ZERO, at(10));
+    pool.record_failed_probe(&mill(), Duration::ZERO, at(10));
     assert_eq!(pool.summary(at(11)).ejected, 0, "an answer can be lost");
-    pool.probe_failed(&mill(), Duration::from_millis(2), at(70));
+    pool.record_failed_probe(&mill(), Duration::from_millis(2), at(70));
     assert_eq!(pool.summary(at(71)).ejected, 1);
 }
 
@@ -38,11 +38,11 @@
 #[test]
 fn a_target_that_owes_an_answer_is_passed_over_until_it_answers() {
     let mut pool = pool(&[MILL, OTHER]);
-    pool.unanswered(&mill());
+    pool.record_unanswered_probe(&mill());
     for _ in 0..2 {
         assert_eq!(sent(pool.admit(ask(60), at(60))).target, id(OTHER));
     }
-    pool.probe_answered(&mill());
+    pool.record_probe_without_load(&mill());
     assert_eq!(sent(pool.admit(ask(60), at(60))).target, mill());
 }
 
@@ -54,8 +54,8 @@
     let mut pool = pool(&[MILL]);
     for asked in 1..10 {
         let now = at(asked * 100);
-        pool.unanswered(&mill());
-        pool.probe_failed(&mill(), Duration::from_millis(60), now);
+        pool.record_unanswered_probe(&mill());
+        pool.record_failed_probe(&mill(), Duration::from_millis(60), now);
     }
     assert_eq!(pool.summary(at(1000)).ejected, 0);
 }
@@ -68,10 +68,10 @@
     let now = at(10);
     pool.set_sharers(sharers(40), Permille::new(1000), now);
     assert_eq!(pool.shed_full(now), None, "nothing is known");
-    pool.answered_soon();
-    (0..2).for_each(|_| pool.unanswered(&mill()));
+    pool.record_prompt_probe();
+    (0..2).for_each(|_| pool.record_unanswered_probe(&mill()));
     assert!(pool.shed_full(now).is_some());
-    (0..10).for_each(|_| pool.unanswered(&mill()));
+    (0..10).for_each(|_| pool.record_unanswered_probe(&mill()));
     assert_eq!(pool.shed_full(now), None);
 }
 
@@ -82,6 +82,6 @@
     let mut pool = pool(&[MILL]);
     let now = at(10);
     pool.set_sharers(sharers(3), Permille::new(1000), now);
-    pool.answered_soon();
+    pool.record_prompt_probe();
     assert_eq!(pool.shed_full(now), None);
 }
--- a/crates/balance/tests/support/fleet.rs
+++ b/crates/balance/tests/support/fleet.rs
@@ -88,7 +88,7 @@
                 process.pool.finish(assignment.attempt, answered(), None, at(now_ms));
             }
             if let Admission::Send(assignment) = process.pool.admit(ask(now_ms), at(now_ms)) {
-                process.pool.sending(assignment.attempt, at(now_ms));
+                process.pool.mark_sent(assignment.attempt, at(now_ms));
                 self.sends.push((now_ms, assignment.target.to_string()));
                 process.running.push((now_ms + self.service_time_ms, assignment));
             }
--- a/crates/balance/tests/support/mod.rs
+++ b/crates/balance/tests/support/mod.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use shallotfork_balance::{
-    Admission, Assignment, LoadFigures, Pace, Patience, Resolution, Shed, SlotAsk, SlotOutcome,
-    SlotPool, SlotPoolConfig, SlotTarget, Ticket, Woken, WorkClass,
+    Admission, Assignment, Patience, Resolution, Shed, SlotOutcome, SlotPool, SlotPoolConfig,
+    SlotRequest, SlotTarget, Slowdown, TargetLoad, Ticket, Woken, WorkClass,
 };
 use shallotfork_types::{FailureDomain, Mono, TargetId};
 
@@ -225,7 +225,7 @@
             Event::Ends(request, assignment) => self.ends(request, &assignment),
             Event::Reports(target) => {
                 let figures = self.figures(&target);
-                let woken = self.pool.report(&target, figures, self.now());
+                let woken = self.pool.record_load(&target, figures, self.now());
                 self.deliver(woken);
             }
             Event::ForeignEnds(target) => *self.running.get_mut(&target).unwrap() -= 1,
@@ -233,13 +233,13 @@
         }
     }
 
-    fn slot_ask(&self, request: &Request) -> SlotAsk {
+    fn slot_ask(&self, request: &Request) -> SlotRequest {
         let at = Mono::from_millis;
         let objective = Duration::from_millis(self.load.objective_ms);
         let objective = at(request.came_ms).plus(objective.saturating_sub(request.waited));
         let deadline = request.gives_up_ms.min(request.came_ms + self.load.timeout_ms);
-        SlotAsk::new(WorkClass::new("reads"), at(request.came_ms), objective, at(deadline))
-            .with_returning(request.waited > RETURNING_AFTER)
+        SlotRequest::new(WorkClass::new("reads"), at(request.came_ms), objective, at(deadline))
+            .with_resubmitted(request.waited > RETURNING_AFTER)
     }
 
     fn ask(&mut self, request: Request) {
@@ -253,7 +253,7 @@
     }
 
     fn got_slot(&mut self, request: Request, assignment: Assignment) {
-        let asks = self.pool.wants_check(&assignment.target, self.now());
+        let asks = self.pool.needs_probe(&assignment.target, self.now());
         if asks && request.checks < CHECKS_MAX {
             self.plan(self.now_ms + CHECK_MS, Event::Checked(request, assignment));
         } else {
@@ -264,7 +264,7 @@
     fn checked(&mut self, request: Request, assignment: Assignment) {
         let request = Request { checks: request.checks + 1, ..request };
         let figures = self.figures(&assignment.target);
-        let woken = self.pool.report(&assignment.target, figures, self.now());
+        let woken = self.pool.record_load(&assignment.target, figures, self.now());
         self.deliver(woken);
         let ask = self.slot_ask(&request);
         if !self.pool.is_unfit(&assignment, &ask, self.now()) {
@@ -276,7 +276,7 @@
     }
 
     fn send(&mut self, request: Request, assignment: Assignment) {
-        self.pool.sending(assignment.attempt, self.now());
+        self.pool.mark_sent(assignment.attempt, self.now());
         let running = self.running.entry(assignment.target.clone()).or_default();
         *running += 1;
         let crowded = *running > 1;
@@ -337,10 +337,10 @@
         }
     }
 
-    fn figures(&mut self, target: &TargetId) -> LoadFigures {
-        let pace = Pace::new((self.pace(target) * 1000.0) as u32);
+    fn figures(&mut self, target: &TargetId) -> TargetLoad {
+        let pace = Slowdown::new((self.pace(target) * 1000.0) as u32);
         let running = self.running.get(target).copied().unwrap_or(0);
-        LoadFigures { running, waiting: 0, slots: 2, pace: Some(pace) }
+        TargetLoad { running, waiting: 0, slots: 2, slowdown: Some(pace) }
     }
 
     fn pace(&mut self, target: &TargetId) -> f64 {
--- a/crates/balance/tests/support/slots.rs
+++ b/crates/balance/tests/support/slots.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use shallotfork_balance::{
-    Admission, Assignment, LoadFigures, Pace, SlotAsk, SlotOutcome, SlotPool, SlotPoolConfig,
-    SlotTarget, Ticket, WorkClass,
+    Admission, Assignment, SlotOutcome, SlotPool, SlotPoolConfig, SlotRequest, SlotTarget,
+    Slowdown, TargetLoad, Ticket, WorkClass,
 };
 use shallotfork_types::{FailureDomain, Mono, TargetId};
 
@@ -32,13 +32,13 @@
     }
 }
 
-pub fn ask(now_ms: u64) -> SlotAsk {
+pub fn ask(now_ms: u64) -> SlotRequest {
     let class = WorkClass::new("recipes");
-    SlotAsk::new(class, at(now_ms), at(now_ms + OBJECTIVE_MS), at(now_ms + DEADLINE_MS))
+    SlotRequest::new(class, at(now_ms), at(now_ms + OBJECTIVE_MS), at(now_ms + DEADLINE_MS))
 }
 
-pub fn figures(running: u32, pace: u32) -> LoadFigures {
-    LoadFigures { running, waiting: 0, slots: 2, pace: Some(Pace::new(pace)) }
+pub fn figures(running: u32, pace: u32) -> TargetLoad {
+    TargetLoad { running, waiting: 0, slots: 2, slowdown: Some(Slowdown::new(pace)) }
 }
 
 pub fn pool(names: &[&str]) -> SlotPool {
@@ -74,9 +74,9 @@
 pub fn learn_work(pool: &mut SlotPool, name: &str) {
     for round in 0..5 {
         let now = round * 200;
-        pool.report(&id(name), figures(0, USUAL), at(now));
+        pool.record_load(&id(name), figures(0, USUAL), at(now));
         let assignment = sent(pool.admit(ask(now), at(now)));
-        pool.sending(assignment.attempt, at(now));
+        pool.mark_sent(assignment.attempt, at(now));
         pool.finish(assignment.attempt, answered(), Some(figures(1, USUAL)), at(now + 160));
     }
 }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -97,7 +97,7 @@
         let window = self.settings.retry_window;
         let near = Some(self.settings.failure_domain.clone());
         let name = self.settings.vm.to_string();
-        let config = || SlotPoolConfig { name, near, ..SlotPoolConfig::default() };
+        let config = || SlotPoolConfig { name, failure_domain: near, ..SlotPoolConfig::default() };
         self.services.get(service, || {
             let waits = Arc::clone(&self.waits);
             ServiceSlots::new(
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use http::HeaderName;
-use shallotfork_balance::LoadFigures;
+use shallotfork_balance::TargetLoad;
 use shallotfork_types::{Endpoint, FailureDomain};
 
 /// Names of the headers by which a platform's callers, entries and targets understand each other.
@@ -44,7 +44,7 @@
     /// Paths.
     pub paths: Paths,
     /// Reads a target's account of its load; `None` when it is not in the platform's form.
-    pub load_figures: fn(&str) -> Option<LoadFigures>,
+    pub load_figures: fn(&str) -> Option<TargetLoad>,
     /// Where a caller who asks for addresses stands, by the query of its question; `None` when it
     /// does not say.
     pub caller_domain: fn(&str) -> Option<FailureDomain>,
--- a/crates/gateway/src/traffic/job.rs
+++ b/crates/gateway/src/traffic/job.rs
@@ -5,7 +5,7 @@
 
 use http::HeaderMap;
 use http::header::{AUTHORIZATION, COOKIE};
-use shallotfork_balance::{SlotAsk, WorkClass};
+use shallotfork_balance::{SlotRequest, WorkClass};
 use shallotfork_exchange::{CALLER_HEADER, CallerPresence, WholeRequest};
 use shallotfork_quarantine::{RequestContent, RequestFingerprint};
 use shallotfork_routes::{Repeat, Route, TableVersion};
@@ -128,10 +128,10 @@
     }
 
     /// What it asks of the service's slots.
-    pub fn ask(&self, tried: &[TargetId]) -> SlotAsk {
-        SlotAsk::new(self.class(), self.arrived, self.objective, self.deadline)
+    pub fn ask(&self, tried: &[TargetId]) -> SlotRequest {
+        SlotRequest::new(self.class(), self.arrived, self.objective, self.deadline)
             .with_rank(self.route.urgency.rank())
-            .with_returning(self.waited >= RETURNING_AFTER || !tried.is_empty())
+            .with_resubmitted(self.waited >= RETURNING_AFTER || !tried.is_empty())
             .with_exclude(tried.to_vec())
     }
 }
--- a/crates/gateway/src/traffic/judge.rs
+++ b/crates/gateway/src/traffic/judge.rs
@@ -2,7 +2,7 @@
 
 use http::StatusCode;
 use http::header::CONTENT_ENCODING;
-use shallotfork_balance::{LoadFigures, SlotOutcome};
+use shallotfork_balance::{SlotOutcome, TargetLoad};
 use shallotfork_exchange::{AttemptFailure, FailureCause, WholeAnswer};
 use shallotfork_types::Verdict;
 
@@ -82,7 +82,7 @@
 }
 
 /// The load that a target reported with its answer; one that can't be read counts as none.
-pub fn figures(dialect: &Dialect, answer: &WholeAnswer) -> Option<LoadFigures> {
+pub fn figures(dialect: &Dialect, answer: &WholeAnswer) -> Option<TargetLoad> {
     let text = answer.headers.get(&dialect.headers.load)?.to_str().ok()?;
     (dialect.load_figures)(text)
 }
--- a/crates/gateway/src/traffic/service_load.rs
+++ b/crates/gateway/src/traffic/service_load.rs
@@ -115,8 +115,8 @@
         "overdue" => load.overdue,
         "full" => load.full,
         "free_slots" => load.free_slots,
-        "crowding_permille" => (load.crowding * 1000.0) as u64,
-        "mean_pace_permille" => (load.mean_pace * 1000.0) as u64,
+        "crowding_permille" => (load.saturation_slowdown * 1000.0) as u64,
+        "mean_pace_permille" => (load.mean_slowdown * 1000.0) as u64,
         "usual_ms" => u64::try_from(load.usual_time.as_millis()).unwrap_or(u64::MAX),
     );
 }
--- a/crates/gateway/src/traffic/service_slots.rs
+++ b/crates/gateway/src/traffic/service_slots.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use shallotfork_balance::{
-    Admission, Assignment, AttemptId, Belief, BeliefChange, LoadFigures, Resolution,
-    RetryAllowance, RetryWindow, Shed, SlotAsk, SlotOutcome, SlotPool, SlotPoolConfig, SlotSummary,
-    SlotTarget, Ticket, Woken, WorkClass,
+    Admission, Assignment, AttemptId, Resolution, RetryAllowance, RetryWindow, Shed, SlotOutcome,
+    SlotPool, SlotPoolConfig, SlotRequest, SlotSummary, SlotTarget, StateChange, TargetLoad,
+    TargetStateChange, Ticket, Woken, WorkClass,
 };
 use shallotfork_events::slog::Logger;
 use shallotfork_events::{TARGET_COLD, TARGET_EJECTED, TARGET_RETURNED, event};
@@ -61,7 +61,7 @@
     }
 
     /// Whether another slot, or a later one, is better now.
-    pub fn is_unfit(&self, ask: &SlotAsk) -> bool {
+    pub fn is_unfit(&self, ask: &SlotRequest) -> bool {
         let now = self.slots.clock.now();
         self.slots.lock().pool.is_unfit(&self.assignment, ask, now)
     }
@@ -69,11 +69,11 @@
     /// Says that the attempt leaves for its target now. Returns whether the target is cold.
     pub fn sending(&self) -> bool {
         let now = self.slots.clock.now();
-        self.slots.lock().pool.sending(self.assignment.attempt, now)
+        self.slots.lock().pool.mark_sent(self.assignment.attempt, now)
     }
 
     /// Reports how the attempt ended, with the load that the target reported in its answer.
-    pub fn finish(mut self, outcome: SlotOutcome, figures: Option<LoadFigures>) {
+    pub fn finish(mut self, outcome: SlotOutcome, figures: Option<TargetLoad>) {
         self.ended = true;
         self.slots.finish(self.assignment.attempt, outcome, figures);
     }
@@ -139,7 +139,7 @@
     ///
     /// # Errors
     /// The refusal, with the time after which the caller may come back.
-    pub async fn admit(self: &Arc<Self>, ask: SlotAsk) -> Place {
+    pub async fn admit(self: &Arc<Self>, ask: SlotRequest) -> Place {
         let now = self.clock.now();
         let (admission, receiver) = self.lock().place(ask, now);
         match (admission, receiver) {
@@ -157,13 +157,13 @@
     /// What to tell a caller whose request reached targets but ran at none of them.
     pub fn shed(&self) -> Shed {
         let now = self.clock.now();
-        self.lock().pool.refusal(now)
+        self.lock().pool.shed_no_target(now)
     }
 
     /// A slot at a second target for a request in flight, if one is free and nobody waits.
-    pub fn spare(self: &Arc<Self>, ask: &SlotAsk) -> Option<Assigned> {
+    pub fn spare(self: &Arc<Self>, ask: &SlotRequest) -> Option<Assigned> {
         let now = self.clock.now();
-        let assignment = self.lock().pool.spare(ask, now)?;
+        let assignment = self.lock().pool.assign_hedge(ask, now)?;
         Some(self.assigned(assignment))
     }
 
@@ -183,7 +183,7 @@
     /// Takes a target's own word on how much longer it is cold.
     pub fn told_cold_for(&self, target: &TargetId, cold_for: Duration) {
         let now = self.clock.now();
-        if self.lock().pool.told_cold_for(target, cold_for, now) {
+        if self.lock().pool.record_cold_report(target, cold_for, now) {
             event!(self.log, TARGET_COLD, "service" => self.name.as_str(),
                 "target" => target.as_str(),
                 "cold_ms" => u64::try_from(cold_for.as_millis()).unwrap_or(u64::MAX));
@@ -206,30 +206,30 @@
     /// Forgets what is known of a target that has started again.
     pub fn restarted(&self, target: &TargetId) {
         let now = self.clock.now();
-        self.lock().pool.restarted(target, now);
+        self.lock().pool.reset_target(target, now);
     }
 
     /// Takes a target's account of its load that came with a probe's answer.
-    pub fn report(self: &Arc<Self>, target: &TargetId, figures: LoadFigures) {
+    pub fn report(self: &Arc<Self>, target: &TargetId, figures: TargetLoad) {
         let now = self.clock.now();
-        let woken = self.lock().pool.report(target, figures, now);
+        let woken = self.lock().pool.record_load(target, figures, now);
         self.deliver(woken);
     }
 
     /// Whether a target should be asked for its pace before a request is sent to it.
     pub fn wants_check(&self, target: &TargetId) -> bool {
         let now = self.clock.now();
-        self.lock().pool.wants_check(target, now)
+        self.lock().pool.needs_probe(target, now)
     }
 
     /// A target answered without telling its load.
     pub fn untold(&self) {
-        self.lock().pool.untold();
+        self.lock().pool.record_missing_load();
     }
 
     /// A target has answered soon when it was asked for its load.
     pub fn answered_soon(&self) {
-        self.lock().pool.answered_soon();
+        self.lock().pool.record_prompt_probe();
     }
 
     /// What to tell a caller whose request found only targets that are full; `None` if it can't be told
@@ -241,12 +241,12 @@
 
     /// A target has not answered soon when it was asked for its load.
     pub fn unanswered(&self, target: &TargetId) {
-        self.lock().pool.unanswered(target);
+        self.lock().pool.record_unanswered_probe(target);
     }
 
     /// A target has answered a question about its load without telling it.
     pub fn probe_answered(&self, target: &TargetId) {
-        self.lock().pool.probe_answered(target);
+        self.lock().pool.record_probe_without_load(target);
     }
 
     /// A target could not be asked for its load, or has not answered at all; this process noticed too
@@ -254,8 +254,8 @@
     pub fn probe_failed(&self, target: &TargetId, late_by: Duration) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        inner.pool.probe_failed(target, late_by, now);
-        let beliefs = inner.pool.take_beliefs();
+        inner.pool.record_failed_probe(target, late_by, now);
+        let beliefs = inner.pool.take_state_changes();
         drop(inner);
         self.report_beliefs(&beliefs);
     }
@@ -310,27 +310,27 @@
         self: &Arc<Self>,
         attempt: AttemptId,
         outcome: SlotOutcome,
-        figures: Option<LoadFigures>,
+        figures: Option<TargetLoad>,
     ) {
         let now = self.clock.now();
         let mut inner = self.lock();
         let woken = inner.pool.finish(attempt, outcome, figures, now);
-        let beliefs = inner.pool.take_beliefs();
+        let beliefs = inner.pool.take_state_changes();
         drop(inner);
         self.report_beliefs(&beliefs);
         self.deliver(woken);
     }
 
-    fn report_beliefs(&self, beliefs: &[Belief]) {
-        for Belief { target, change } in beliefs {
+    fn report_beliefs(&self, beliefs: &[TargetStateChange]) {
+        for TargetStateChange { target, change } in beliefs {
             let (service, target) = (self.name.as_str(), target.as_str());
             match change {
-                BeliefChange::Ejected { failures, pause } => {
+                StateChange::Ejected { failures, pause } => {
                     let pause_ms = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
                     event!(self.log, TARGET_EJECTED, "service" => service, "target" => target,
                         "failures" => *failures, "pause_ms" => pause_ms);
                 }
-                BeliefChange::Returned => {
+                StateChange::Returned => {
                     event!(self.log, TARGET_RETURNED, "service" => service, "target" => target);
                 }
             }
@@ -360,7 +360,11 @@
 impl Inner {
     /// Asks the pool and, for a queued request, makes the channel that wakes it, in one step: the
     /// ticket could be woken as soon as the lock is released.
-    fn place(&mut self, ask: SlotAsk, now: Mono) -> (Admission, Option<oneshot::Receiver<Place>>) {
+    fn place(
+        &mut self,
+        ask: SlotRequest,
+        now: Mono,
+    ) -> (Admission, Option<oneshot::Receiver<Place>>) {
         let admission = self.pool.admit(ask, now);
         let Admission::Queued(ticket) = admission else {
             return (admission, None);
--- a/crates/revisions/src/cursor.rs
+++ b/crates/revisions/src/cursor.rs
@@ -20,7 +20,7 @@
 
 /// How a replica's revision relates to what was seen before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answer {
+pub enum ReplicaStatus {
     /// The replica is at the highest revision seen, or beyond.
     Current,
     /// The replica is below a revision that another replica, a peer or itself has shown before: it
@@ -46,12 +46,12 @@
     }
 
     /// The revision up to which every published list is known.
-    pub fn complete(&self) -> Revision {
+    pub fn synced_revision(&self) -> Revision {
         self.complete
     }
 
     /// The highest revision that the platform or a peer was seen at.
-    pub fn highest(&self) -> Revision {
+    pub fn highest_revision(&self) -> Revision {
         self.highest
     }
 
@@ -65,12 +65,12 @@
     /// A platform restored from a backup answers with a lower revision and then counts up again
     /// with other contents. Going on from the old revision would skip what is published until the
     /// count passes it; so the next question asks for every list, and the tracker sorts them out.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         replica: Endpoint,
         asked_after: Revision,
         platform: Revision,
-    ) -> Answer {
+    ) -> ReplicaStatus {
         let after = if platform < asked_after { Revision::NONE } else { platform };
         self.complete = self.complete.max(platform);
         self.highest = self.highest.max(platform);
@@ -78,10 +78,13 @@
         replica.after = after;
         if platform < self.highest {
             replica.behind_answers = replica.behind_answers.saturating_add(1);
-            return Answer::Behind { highest: self.highest, answers: replica.behind_answers };
+            return ReplicaStatus::Behind {
+                highest: self.highest,
+                answers: replica.behind_answers,
+            };
         }
         replica.behind_answers = 0;
-        Answer::Current
+        ReplicaStatus::Current
     }
 
     /// Has the next question to a replica ask for every list.
@@ -89,20 +92,20 @@
     /// A platform that was rolled back and published again may have counted up to the old revision
     /// before anybody asked. Its answers then look as if nothing had changed; only the contents
     /// tell.
-    pub fn read_in_full(&mut self, replica: Endpoint) {
+    pub fn request_full_read(&mut self, replica: Endpoint) {
         if let Some(replica) = self.replicas.get_mut(&replica) {
             replica.after = Revision::NONE;
         }
     }
 
     /// Takes note of a revision that a peer has heard of.
-    pub fn heard(&mut self, revision: Revision) {
+    pub fn record_seen(&mut self, revision: Revision) {
         self.highest = self.highest.max(revision);
     }
 
     /// Takes note that a peer has given every list up to a revision.
-    pub fn completed(&mut self, revision: Revision) {
+    pub fn record_synced(&mut self, revision: Revision) {
         self.complete = self.complete.max(revision);
-        self.heard(revision);
+        self.record_seen(revision);
     }
 }
--- a/crates/revisions/src/lib.rs
+++ b/crates/revisions/src/lib.rs
@@ -10,8 +10,8 @@
 mod pull_gate;
 mod tracker;
 
-pub use cursor::{Answer, Cursor};
+pub use cursor::{Cursor, ReplicaStatus};
 pub use digest::Digest;
-pub use offer::{Kept, Offer, Offered, Version};
+pub use offer::{ConflictWinner, OfferOutcome, OfferedVersion, Version};
 pub use pull_gate::{DigestPair, PullGate};
 pub use tracker::Tracker;
--- a/crates/revisions/src/offer.rs
+++ b/crates/revisions/src/offer.rs
@@ -22,7 +22,7 @@
 
 /// A version that the platform or a peer has sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Offered {
+pub struct OfferedVersion {
     /// The list.
     pub name: ListName,
     /// Its version.
@@ -33,7 +33,7 @@
 
 /// Which of two contents under one revision is in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kept {
+pub enum ConflictWinner {
     /// The offered one; it takes effect now.
     Offered,
     /// The one in force before; the offered one is refused.
@@ -42,14 +42,14 @@
 
 /// What becomes of an offered version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offer {
+pub enum OfferOutcome {
     /// It takes effect now.
-    Accept {
+    Accepted {
         /// Revision in force before.
         from: Option<Revision>,
     },
     /// It is known already; nothing changes.
-    Same,
+    Known,
     /// Refused: a higher revision is in force.
     Lower {
         /// Revision in force.
@@ -63,13 +63,13 @@
     /// Another content has the same revision, which needs an operator's attention.
     Conflict {
         /// Which of the two is in force.
-        kept: Kept,
+        winner: ConflictWinner,
     },
 }
 
-impl Offer {
+impl OfferOutcome {
     /// Whether the offered version takes effect now.
     pub fn takes_effect(self) -> bool {
-        matches!(self, Self::Accept { .. } | Self::Conflict { kept: Kept::Offered })
+        matches!(self, Self::Accepted { .. } | Self::Conflict { winner: ConflictWinner::Offered })
     }
 }
--- a/crates/revisions/src/pull_gate.rs
+++ b/crates/revisions/src/pull_gate.rs
@@ -38,7 +38,7 @@
     }
 
     /// Whether to read the peer's lists now; the answer yes is remembered.
-    pub fn opens(&mut self, peer: &VmId, pair: DigestPair, now: Mono) -> bool {
+    pub fn try_admit(&mut self, peer: &VmId, pair: DigestPair, now: Mono) -> bool {
         if pair.own == pair.peer {
             return false;
         }
--- a/crates/revisions/src/tracker.rs
+++ b/crates/revisions/src/tracker.rs
@@ -5,7 +5,7 @@
 use sha2::{Digest as _, Sha256};
 use shallotfork_types::{ListName, ListsDigest, Revision};
 
-use crate::{Kept, Offer, Offered, Version};
+use crate::{ConflictWinner, OfferOutcome, OfferedVersion, Version};
 
 /// Remembers the version in force of each list and the last one refused.
 #[derive(Debug, Default)]
@@ -32,7 +32,7 @@
     }
 
     /// Decides what becomes of an offered version.
-    pub fn offer(&mut self, offered: &Offered) -> Offer {
+    pub fn offer(&mut self, offered: &OfferedVersion) -> OfferOutcome {
         let versions = self.lists.entry(offered.name.clone()).or_default();
         let before = versions.in_force;
         let offer = versions.offer(offered.version, offered.valid);
@@ -64,7 +64,7 @@
 
     /// Every list that was ever offered, ordered by name, with its version in force. A list whose
     /// versions were all refused has none.
-    pub fn all(&self) -> impl Iterator<Item = (&ListName, Option<Version>)> {
+    pub fn lists(&self) -> impl Iterator<Item = (&ListName, Option<Version>)> {
         self.lists.iter().map(|(name, versions)| (name, versions.in_force))
     }
 }
@@ -90,14 +90,14 @@
         self.in_force.as_ref() == Some(version) || self.refused.as_ref() == Some(version)
     }
 
-    fn offer(&mut self, version: Version, valid: bool) -> Offer {
+    fn offer(&mut self, version: Version, valid: bool) -> OfferOutcome {
         if self.knows(&version) {
-            return Offer::Same;
+            return OfferOutcome::Known;
         }
         // A replica that lags, or a platform restored from a backup, offers what was in force
         // earlier; taking it would undo a change that operators have seen take effect.
         if let Some(in_force) = self.revision().filter(|revision| version.revision < *revision) {
-            return Offer::Lower { in_force };
+            return OfferOutcome::Lower { in_force };
         }
         let conflict = self.has_other_content(&version);
         let outranked = self.in_force.is_some_and(|in_force| version < in_force);
@@ -106,15 +106,19 @@
         }
         let from = self.revision();
         self.in_force = Some(version);
-        if conflict { Offer::Conflict { kept: Kept::Offered } } else { Offer::Accept { from } }
+        if conflict {
+            OfferOutcome::Conflict { winner: ConflictWinner::Offered }
+        } else {
+            OfferOutcome::Accepted { from }
+        }
     }
 
-    fn refuse(&mut self, version: Version, conflict: bool) -> Offer {
+    fn refuse(&mut self, version: Version, conflict: bool) -> OfferOutcome {
         self.refused = Some(version);
         if conflict && self.revision() == Some(version.revision) {
-            return Offer::Conflict { kept: Kept::InForce };
+            return OfferOutcome::Conflict { winner: ConflictWinner::InForce };
         }
-        Offer::Invalid { in_force: self.revision() }
+        OfferOutcome::Invalid { in_force: self.revision() }
     }
 
     /// Two operators publishing at once through replicas that do not agree can put two contents
--- a/crates/revisions/tests/cursor.rs
+++ b/crates/revisions/tests/cursor.rs
@@ -1,6 +1,6 @@
 //! Watching replicas of a platform that lag or were restored.
 
-use shallotfork_revisions::{Answer, Cursor};
+use shallotfork_revisions::{Cursor, ReplicaStatus};
 use shallotfork_types::{Endpoint, Revision};
 
 const fn rev(value: u64) -> Revision {
@@ -15,9 +15,9 @@
 fn watch_goes_on_from_the_last_answer() {
     let mut cursor = Cursor::new();
     assert_eq!(Revision::NONE, cursor.after(replica(1)));
-    assert_eq!(Answer::Current, cursor.answered(replica(1), Revision::NONE, rev(7)));
-    assert_eq!((rev(7), rev(7)), (cursor.after(replica(1)), cursor.complete()));
-    assert_eq!(Answer::Current, cursor.answered(replica(1), rev(7), rev(7)));
+    assert_eq!(ReplicaStatus::Current, cursor.record_answer(replica(1), Revision::NONE, rev(7)));
+    assert_eq!((rev(7), rev(7)), (cursor.after(replica(1)), cursor.synced_revision()));
+    assert_eq!(ReplicaStatus::Current, cursor.record_answer(replica(1), rev(7), rev(7)));
 }
 
 /// The platform is restored from a backup: it falls from revision 9 to 4, then operators publish
@@ -27,14 +27,14 @@
 fn restored_platform_is_read_in_full_again() {
     let mut cursor = Cursor::new();
     let one = replica(1);
-    let behind = |answers| Answer::Behind { highest: rev(9), answers };
-    cursor.answered(one, Revision::NONE, rev(9));
-    assert_eq!(behind(1), cursor.answered(one, rev(9), rev(4)));
+    let behind = |answers| ReplicaStatus::Behind { highest: rev(9), answers };
+    cursor.record_answer(one, Revision::NONE, rev(9));
+    assert_eq!(behind(1), cursor.record_answer(one, rev(9), rev(4)));
     assert_eq!(Revision::NONE, cursor.after(one));
-    assert_eq!(behind(2), cursor.answered(one, Revision::NONE, rev(4)));
-    assert_eq!((rev(4), rev(9)), (cursor.after(one), cursor.complete()));
+    assert_eq!(behind(2), cursor.record_answer(one, Revision::NONE, rev(4)));
+    assert_eq!((rev(4), rev(9)), (cursor.after(one), cursor.synced_revision()));
     assert!(cursor.is_behind(one));
-    assert_eq!(Answer::Current, cursor.answered(one, rev(4), rev(9)));
+    assert_eq!(ReplicaStatus::Current, cursor.record_answer(one, rev(4), rev(9)));
     assert!(!cursor.is_behind(one));
 }
 
@@ -43,18 +43,18 @@
 #[test]
 fn each_replica_is_followed_at_its_own_revision() {
     let mut cursor = Cursor::new();
-    cursor.answered(replica(1), Revision::NONE, rev(9));
+    cursor.record_answer(replica(1), Revision::NONE, rev(9));
     assert_eq!(Revision::NONE, cursor.after(replica(2)));
-    let behind = Answer::Behind { highest: rev(9), answers: 1 };
-    assert_eq!(behind, cursor.answered(replica(2), Revision::NONE, rev(6)));
+    let behind = ReplicaStatus::Behind { highest: rev(9), answers: 1 };
+    assert_eq!(behind, cursor.record_answer(replica(2), Revision::NONE, rev(6)));
     assert_eq!((rev(9), rev(6)), (cursor.after(replica(1)), cursor.after(replica(2))));
 }
 
 #[test]
 fn hearing_of_a_revision_does_not_make_it_known() {
     let mut cursor = Cursor::new();
-    cursor.heard(rev(9));
-    assert_eq!((Revision::NONE, rev(9)), (cursor.complete(), cursor.highest()));
-    cursor.completed(rev(8));
-    assert_eq!((rev(8), rev(9)), (cursor.complete(), cursor.highest()));
+    cursor.record_seen(rev(9));
+    assert_eq!((Revision::NONE, rev(9)), (cursor.synced_revision(), cursor.highest_revision()));
+    cursor.record_synced(rev(8));
+    assert_eq!((rev(8), rev(9)), (cursor.synced_revision(), cursor.highest_revision()));
 }
--- a/crates/revisions/tests/pull_gate.rs
+++ b/crates/revisions/tests/pull_gate.rs
@@ -18,7 +18,7 @@
     let mut gate = PullGate::new(REPEAT);
     let peer = VmId::new("e1").unwrap();
     let opens_at_s: Vec<u64> = (0..12)
-        .filter(|second| gate.opens(&peer, pair(1, 2), Mono::from_millis(second * 1000)))
+        .filter(|second| gate.try_admit(&peer, pair(1, 2), Mono::from_millis(second * 1000)))
         .collect();
     assert_eq!(vec![0, 5, 10], opens_at_s);
 }
@@ -27,9 +27,9 @@
 fn each_new_difference_is_read_at_once() {
     let mut gate = PullGate::new(REPEAT);
     let peer = VmId::new("e1").unwrap();
-    assert!(gate.opens(&peer, pair(1, 2), Mono::ZERO));
-    assert!(gate.opens(&peer, pair(1, 3), Mono::ZERO));
-    assert!(!gate.opens(&peer, pair(3, 3), Mono::ZERO));
+    assert!(gate.try_admit(&peer, pair(1, 2), Mono::ZERO));
+    assert!(gate.try_admit(&peer, pair(1, 3), Mono::ZERO));
+    assert!(!gate.try_admit(&peer, pair(3, 3), Mono::ZERO));
     gate.forget(&peer);
-    assert!(gate.opens(&peer, pair(1, 3), Mono::ZERO));
+    assert!(gate.try_admit(&peer, pair(1, 3), Mono::ZERO));
 }
--- a/crates/revisions/tests/tracker.rs
+++ b/crates/revisions/tests/tracker.rs
@@ -1,7 +1,7 @@
 //! Which version is in force, whatever the order of offers.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use shallotfork_revisions::{Kept, Offer, Offered, Tracker, Version};
+use shallotfork_revisions::{ConflictWinner, OfferOutcome, OfferedVersion, Tracker, Version};
 use shallotfork_types::{ListName, Revision};
 
 const RULES: ListName = ListName::Rules;
@@ -10,12 +10,12 @@
     Version::new(Revision::new(revision), content.as_bytes())
 }
 
-fn offered(revision: u64, content: &str) -> Offered {
-    Offered { name: RULES, version: version(revision, content), valid: true }
+fn offered(revision: u64, content: &str) -> OfferedVersion {
+    OfferedVersion { name: RULES, version: version(revision, content), valid: true }
 }
 
-fn invalid(revision: u64, content: &str) -> Offered {
-    Offered { valid: false, ..offered(revision, content) }
+fn invalid(revision: u64, content: &str) -> OfferedVersion {
+    OfferedVersion { valid: false, ..offered(revision, content) }
 }
 
 /// Two contents, the greater digest first.
@@ -31,9 +31,9 @@
 fn stale_replica_does_not_undo_a_change() {
     let mut tracker = Tracker::new();
     let from = None;
-    assert_eq!(Offer::Accept { from }, tracker.offer(&offered(5, "new")));
+    assert_eq!(OfferOutcome::Accepted { from }, tracker.offer(&offered(5, "new")));
     let in_force = Revision::new(5);
-    assert_eq!(Offer::Lower { in_force }, tracker.offer(&offered(4, "old")));
+    assert_eq!(OfferOutcome::Lower { in_force }, tracker.offer(&offered(4, "old")));
     assert_eq!(Some(version(5, "new")), tracker.in_force(&RULES));
 }
 
@@ -44,11 +44,11 @@
     let mut tracker = Tracker::new();
     tracker.offer(&offered(5, "good"));
     let in_force = Some(Revision::new(5));
-    assert_eq!(Offer::Invalid { in_force }, tracker.offer(&invalid(6, "bad")));
-    assert_eq!(Offer::Same, tracker.offer(&invalid(6, "bad")));
+    assert_eq!(OfferOutcome::Invalid { in_force }, tracker.offer(&invalid(6, "bad")));
+    assert_eq!(OfferOutcome::Known, tracker.offer(&invalid(6, "bad")));
     assert_eq!(Some(version(5, "good")), tracker.in_force(&RULES));
     assert_eq!(Some(version(6, "bad")), tracker.refused(&RULES));
-    assert_eq!(Offer::Accept { from: in_force }, tracker.offer(&offered(7, "mended")));
+    assert_eq!(OfferOutcome::Accepted { from: in_force }, tracker.offer(&offered(7, "mended")));
     assert_eq!(None, tracker.refused(&RULES));
 }
 
@@ -58,7 +58,7 @@
 fn good_list_from_a_peer_is_taken_after_a_bad_one_was_seen() {
     let mut tracker = Tracker::new();
     tracker.offer(&invalid(6, "bad"));
-    assert_eq!(Offer::Accept { from: None }, tracker.offer(&offered(5, "good")));
+    assert_eq!(OfferOutcome::Accepted { from: None }, tracker.offer(&offered(5, "good")));
 }
 
 /// Two operators publish at once and two replicas each take one content as revision 5. One entry
@@ -68,10 +68,16 @@
     let [greater, lesser] = ordered_contents();
     let mut one = Tracker::new();
     one.offer(&offered(5, greater));
-    assert_eq!(Offer::Conflict { kept: Kept::InForce }, one.offer(&offered(5, lesser)));
+    assert_eq!(
+        OfferOutcome::Conflict { winner: ConflictWinner::InForce },
+        one.offer(&offered(5, lesser))
+    );
     let mut other = Tracker::new();
     other.offer(&offered(5, lesser));
-    assert_eq!(Offer::Conflict { kept: Kept::Offered }, other.offer(&offered(5, greater)));
+    assert_eq!(
+        OfferOutcome::Conflict { winner: ConflictWinner::Offered },
+        other.offer(&offered(5, greater))
+    );
     assert_eq!(one.in_force(&RULES), other.in_force(&RULES));
 }
 
@@ -91,15 +97,15 @@
 impl History {
     /// Few revisions and contents, so that conflicts are common; a content is always valid or
     /// always invalid, as validation is deterministic.
-    fn offers(&self) -> Vec<Offered> {
-        let offer = |&(revision, content, _): &(u8, u8, bool)| Offered {
+    fn offers(&self) -> Vec<OfferedVersion> {
+        let offer = |&(revision, content, _): &(u8, u8, bool)| OfferedVersion {
             valid: content % 4 != 0,
             ..offered(u64::from(revision % 6), &(content % 8).to_string())
         };
         self.0.iter().map(offer).collect()
     }
 
-    fn seen_by(&self, process: bool) -> Vec<Offered> {
+    fn seen_by(&self, process: bool) -> Vec<OfferedVersion> {
         let all = self.offers().into_iter().zip(&self.0);
         all.filter(|(_, (_, _, to))| *to == process).map(|(offer, _)| offer).collect()
     }
@@ -109,14 +115,15 @@
     QuickCheck::new().rng(Gen::from_size_and_seed(60, 5)).tests(1000).quickcheck(property);
 }
 
-fn show(tracker: &mut Tracker, offers: &[Offered]) {
+fn show(tracker: &mut Tracker, offers: &[OfferedVersion]) {
     for offer in offers {
         tracker.offer(offer);
     }
 }
 
-fn shuffled(mut offers: Vec<Offered>, seed: u64) -> Vec<Offered> {
-    let key = |offer: &Offered| Version::new(offer.version.revision, &seed.to_le_bytes()).digest;
+fn shuffled(mut offers: Vec<OfferedVersion>, seed: u64) -> Vec<OfferedVersion> {
+    let key =
+        |offer: &OfferedVersion| Version::new(offer.version.revision, &seed.to_le_bytes()).digest;
     offers.sort_by_key(|offer| (key(offer), offer.version.digest));
     offers
 }
--- a/crates/shallotd/src/control/lists.rs
+++ b/crates/shallotd/src/control/lists.rs
@@ -7,7 +7,9 @@
     Event, LIST_ACCEPTED, LIST_CONFLICT, LIST_INVALID, LIST_LOWER, event, slog::Logger,
 };
 use shallotfork_platform::{PublishedList, TargetInfo, VmInfo, parse_targets, parse_vms};
-use shallotfork_revisions::{Cursor, Kept, Offer, Offered, Tracker, Version};
+use shallotfork_revisions::{
+    ConflictWinner, Cursor, OfferOutcome, OfferedVersion, Tracker, Version,
+};
 use shallotfork_rules::{RuleError, RuleList, RulePart, ServiceIndex};
 use shallotfork_types::report::{AuditChange, AuditOutcome, ListStatus};
 use shallotfork_types::{ListName, ListsDigest, Mono, Revision, ServiceName};
@@ -81,7 +83,7 @@
         }
         let from = self.tracker.in_force(&name).map(|version| version.revision);
         let checked = check(&published);
-        let offered = Offered { name, version, valid: checked.is_ok() };
+        let offered = OfferedVersion { name, version, valid: checked.is_ok() };
         let offer = self.tracker.offer(&offered);
         if is_expected(offer, source) {
             return Taken::nothing();
@@ -104,8 +106,8 @@
         Taken { changed: offer.takes_effect(), audit, outranked }
     }
 
-    fn outranked_by(&self, offer: Offer, name: &ListName) -> Option<PublishedList> {
-        if offer != (Offer::Conflict { kept: Kept::Offered }) {
+    fn outranked_by(&self, offer: OfferOutcome, name: &ListName) -> Option<PublishedList> {
+        if offer != (OfferOutcome::Conflict { winner: ConflictWinner::Offered }) {
             return None;
         }
         self.in_force.get(name).map(|list| list.published.clone())
@@ -161,7 +163,7 @@
             in_force_ms: self.in_force_ms(name, now),
             refused_revision: self.tracker.refused(name).map(|refused| refused.revision),
         };
-        self.tracker.all().map(status).collect()
+        self.tracker.lists().map(status).collect()
     }
 
     fn in_force_ms(&self, name: &ListName, now: Mono) -> u64 {
@@ -189,8 +191,8 @@
 
 /// Whether the offer is no news to operators: a peer that has not caught up yet has a lower
 /// revision, and will read the higher one from here.
-fn is_expected(offer: Offer, source: &ListSource) -> bool {
-    matches!((offer, source), (Offer::Lower { .. }, ListSource::Peer(_)))
+fn is_expected(offer: OfferOutcome, source: &ListSource) -> bool {
+    matches!((offer, source), (OfferOutcome::Lower { .. }, ListSource::Peer(_)))
 }
 
 fn joined(errors: Vec<RuleError>) -> String {
@@ -198,24 +200,34 @@
     lines.join("; ")
 }
 
-fn outcome(offer: Offer) -> Option<AuditOutcome> {
+fn outcome(offer: OfferOutcome) -> Option<AuditOutcome> {
     match offer {
-        Offer::Accept { .. } => Some(AuditOutcome::Accepted),
-        Offer::Same => None,
-        Offer::Lower { .. } => Some(AuditOutcome::Lower),
-        Offer::Invalid { .. } => Some(AuditOutcome::Invalid),
-        Offer::Conflict { kept: Kept::Offered } => Some(AuditOutcome::ConflictAccepted),
-        Offer::Conflict { kept: Kept::InForce } => Some(AuditOutcome::ConflictRefused),
+        OfferOutcome::Accepted { .. } => Some(AuditOutcome::Accepted),
+        OfferOutcome::Known => None,
+        OfferOutcome::Lower { .. } => Some(AuditOutcome::Lower),
+        OfferOutcome::Invalid { .. } => Some(AuditOutcome::Invalid),
+        OfferOutcome::Conflict { winner: ConflictWinner::Offered } => {
+            Some(AuditOutcome::ConflictAccepted)
+        }
+        OfferOutcome::Conflict { winner: ConflictWinner::InForce } => {
+            Some(AuditOutcome::ConflictRefused)
+        }
     }
 }
 
-fn report(log: &Logger, offer: Offer, offered: &Offered, source: &ListSource, reason: &str) {
+fn report(
+    log: &Logger,
+    offer: OfferOutcome,
+    offered: &OfferedVersion,
+    source: &ListSource,
+    reason: &str,
+) {
     let event: Event = match offer {
-        Offer::Same => return,
-        Offer::Accept { .. } => LIST_ACCEPTED,
-        Offer::Lower { .. } => LIST_LOWER,
-        Offer::Invalid { .. } => LIST_INVALID,
-        Offer::Conflict { .. } => LIST_CONFLICT,
+        OfferOutcome::Known => return,
+        OfferOutcome::Accepted { .. } => LIST_ACCEPTED,
+        OfferOutcome::Lower { .. } => LIST_LOWER,
+        OfferOutcome::Invalid { .. } => LIST_INVALID,
+        OfferOutcome::Conflict { .. } => LIST_CONFLICT,
     };
     event!(
         log, event,
--- a/crates/shallotd/src/control/lists_pull.rs
+++ b/crates/shallotd/src/control/lists_pull.rs
@@ -22,7 +22,7 @@
 /// Entries that cannot reach the platform, or reach a replica that lags or has other contents,
 /// learn of changes in this way only; and entries that were apart compare what they have.
 pub async fn pull_lists(state: Rc<State>, client: Rc<PeerClient>, beat: Heartbeat) {
-    state.lists.borrow_mut().cursor.heard(beat.seen_revision);
+    state.lists.borrow_mut().cursor.record_seen(beat.seen_revision);
     if beat.lists_digest == state.lists.borrow().digest() {
         return;
     }
@@ -33,7 +33,7 @@
     let pair = DigestPair { own: state.lists.borrow().digest(), peer: beat.lists_digest };
     let peer = &client.peer().vm;
     let now = state.context.clock.now();
-    if !state.pulls.borrow_mut().opens(peer, pair, now) {
+    if !state.pulls.borrow_mut().try_admit(peer, pair, now) {
         return;
     }
     counter!(LIST_PULLS.name).increment(1);
@@ -60,13 +60,13 @@
 /// since the difference has no revision, would cost megabytes at each change. Once it has caught
 /// up, another content under one revision shows as a difference at the same revision.
 fn is_behind(state: &State, beat: &Heartbeat) -> bool {
-    beat.synced_revision < state.lists.borrow().cursor.complete()
+    beat.synced_revision < state.lists.borrow().cursor.synced_revision()
 }
 
 /// What is new at a peer that knows later revisions; else everything, since the difference lies in
 /// what both have.
 fn pull_after(state: &State, beat: &Heartbeat) -> Revision {
-    let complete = state.lists.borrow().cursor.complete();
+    let complete = state.lists.borrow().cursor.synced_revision();
     if beat.synced_revision > complete { complete } else { Revision::NONE }
 }
 
@@ -80,11 +80,11 @@
     after: Revision,
 ) -> Result<(), PeerError> {
     let changes = client.changes(after).await?;
-    let complete = state.lists.borrow().cursor.complete();
+    let complete = state.lists.borrow().cursor.synced_revision();
     let lists = changes.values.into_iter().filter_map(published).collect();
     let taken = take_lists(state, lists, &ListSource::Peer(client.peer().vm.clone()));
     if after <= complete {
-        state.lists.borrow_mut().cursor.completed(changes.revision);
+        state.lists.borrow_mut().cursor.record_synced(changes.revision);
     }
     show_outranked(client, changes.revision, taken.outranked).await
 }
--- a/crates/shallotd/src/control/peer_calls.rs
+++ b/crates/shallotd/src/control/peer_calls.rs
@@ -82,7 +82,12 @@
     async fn changes(&self, asked: ChangesAsked) -> Option<Changes> {
         let lists = self.state.lists.borrow();
         let values = lists.newer_than(asked.after).into_iter().map(value_change).collect();
-        Some(Changes { revision: lists.cursor.complete(), values, whole: false, bundle: None })
+        Some(Changes {
+            revision: lists.cursor.synced_revision(),
+            values,
+            whole: false,
+            bundle: None,
+        })
     }
 
     async fn push(&self, from: &PeerId, changes: Changes) {
--- a/crates/shallotd/src/control/report.rs
+++ b/crates/shallotd/src/control/report.rs
@@ -25,7 +25,7 @@
         vm: context.identity.vm.clone(),
         incarnation: context.identity.incarnation,
         state: life_cycle(state),
-        synced_revision: lists.cursor.complete(),
+        synced_revision: lists.cursor.synced_revision(),
         lists: lists.status(now),
         targets,
         sessions: state.ledger.borrow().status(),
--- a/crates/shallotd/src/control/watch.rs
+++ b/crates/shallotd/src/control/watch.rs
@@ -7,7 +7,7 @@
 use metrics::gauge;
 use shallotfork_events::{PLATFORM_BACK, PLATFORM_BEHIND, PLATFORM_LOST, event};
 use shallotfork_platform::{Backoff, BackoffConfig, Changes, PlatformError};
-use shallotfork_revisions::Answer;
+use shallotfork_revisions::ReplicaStatus;
 use shallotfork_types::{Endpoint, Mono, Revision};
 
 use crate::control::lists_source::ListSource;
@@ -75,7 +75,7 @@
         let asked_at = self.asked_at.entry(replica).or_insert(now);
         if now.since(*asked_at) >= state.context.settings.platform.full_read {
             *asked_at = now;
-            state.lists.borrow_mut().cursor.read_in_full(replica);
+            state.lists.borrow_mut().cursor.request_full_read(replica);
         }
     }
 }
@@ -88,16 +88,16 @@
     let replica = state.platform.replica();
     let after = state.lists.borrow().cursor.after(replica);
     let Changes { replica, revision, lists } = state.platform.changes(after, wait).await?;
-    let answer = state.lists.borrow_mut().cursor.answered(replica, after, revision);
+    let answer = state.lists.borrow_mut().cursor.record_answer(replica, after, revision);
     report_behind(state, answer, revision, replica);
     Ok(take_lists(state, lists, &ListSource::Platform(replica)))
 }
 
-fn report_behind(state: &State, answer: Answer, revision: Revision, replica: Endpoint) {
-    let highest = state.lists.borrow().cursor.highest();
+fn report_behind(state: &State, answer: ReplicaStatus, revision: Revision, replica: Endpoint) {
+    let highest = state.lists.borrow().cursor.highest_revision();
     let behind = highest.value() - revision.value();
     gauge!(BEHIND_REVISIONS.name, "replica" => replica.to_string()).set(behind as f64);
-    if let Answer::Behind { highest, answers: BEHIND_ANSWERS } = answer {
+    if let ReplicaStatus::Behind { highest, answers: BEHIND_ANSWERS } = answer {
         event!(
             state.context.log, PLATFORM_BEHIND,
             "replica" => replica.to_string(),
--- a/crates/slopes/src/lists.rs
+++ b/crates/slopes/src/lists.rs
@@ -2,7 +2,7 @@
 
 use anyhow::Result;
 use shallotfork_platform::{TargetInfo, parse_targets, parse_vms};
-use shallotfork_revisions::{Digest, Offered, Tracker, Version};
+use shallotfork_revisions::{Digest, OfferedVersion, Tracker, Version};
 use shallotfork_types::{ListName, Revision, ServiceName};
 
 use crate::measure::{memory, time};
@@ -83,11 +83,11 @@
     Ok(tracker)
 }
 
-fn offered(service: usize, revision: u64) -> Result<Offered> {
+fn offered(service: usize, revision: u64) -> Result<OfferedVersion> {
     let name: ListName = format!("targets.service-{service}").parse()?;
     let content = targets_json(service, TARGETS_PER_SERVICE);
     let version = Version::new(Revision::new(revision), content.as_bytes());
-    Ok(Offered { name, version, valid: true })
+    Ok(OfferedVersion { name, version, valid: true })
 }
 
 /// Prints the memory of published lists.
