--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -5,7 +5,7 @@
 
 use async_trait::async_trait;
 use shallotfork_evacuation::EvacuationChange;
-use shallotfork_roster::Change;
+use shallotfork_roster::TargetChange;
 use shallotfork_routes::RouteTable;
 use shallotfork_types::Revision;
 use thiserror::Error;
@@ -82,7 +82,7 @@
     /// A change of a target's published item.
     Target {
         /// The change to apply.
-        change: Change,
+        change: TargetChange,
         /// Description of an invalid part of the item that was skipped.
         ignored: Option<String>,
     },
