--- a/crates/balance/src/slots/config.rs
+++ b/crates/balance/src/slots/config.rs
@@ -4,52 +4,52 @@
 
 use shallotfork_types::FailureDomain;
 
-/// How a pool judges targets and when it refuses.
+/// Configures how a pool ranks and ejects targets and when it sheds requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SlotPoolConfig {
-    /// Work of a class before its first answer; default 100 ms.
+    /// Work time assumed for a class before its first answer; default 100 ms.
     pub initial_work_time: Duration,
-    /// How long a target's own word on its pace says something; default 150 ms, the length of the
-    /// phases in which neighbours on the same host slow it down.
+    /// Time constant with which a target's slowdown report loses weight; default 150 ms, the length
+    /// of the phases in which neighbours on the same host slow a target down.
     pub slowdown_decay: Duration,
-    /// Age of a target's last report after which it is asked again before a request is sent to it;
-    /// default 10 ms, a small part of a slow phase; asking takes one round trip.
+    /// Age of a target's last load report beyond which the target is probed before a request is
+    /// sent to it; default 10 ms, a small part of a slow phase. A probe takes one round trip.
     pub load_max_age: Duration,
-    /// Age of a target's last word on whether it is cold after which it is asked again before a
-    /// request is sent to it, if its service has a warm-up; default 50 ms. Only answers to questions
-    /// tell it, and a busy target's other answers keep its load known without one.
+    /// Age of a target's last report of whether it is cold beyond which the target is probed before
+    /// a request is sent to it, if its service has a warm-up; default 50 ms. Only probe answers
+    /// carry this report, and a busy target's other answers keep its load known without a probe.
     pub cold_report_max_age: Duration,
-    /// Time between two probes of a target while requests wait for it to end a slow phase; default
-    /// 25 ms, a small part of such a phase.
+    /// Time between two probes of a target while requests wait for the end of its slow phase;
+    /// default 25 ms, a small part of such a phase.
     pub probe_interval: Duration,
-    /// Part of the time until its deadline that a request which can't be answered within its
-    /// objective any more may wait, in thousandths; default 250.
+    /// Part of the time to its deadline, in thousandths, for which a request may wait that can no
+    /// longer be answered within its objective; default 250.
     pub late_wait_permille: u32,
-    /// Name of this process. Targets that are equal otherwise are taken in an order that differs
-    /// from process to process; processes that all began with the same one would fill it.
+    /// Name of this process. It determines the rank of equally good targets, so that processes
+    /// don't all fill the same target first.
     pub name: String,
-    /// The failure domain of this process; `None` when all are equally near.
+    /// Failure domain of this process; `None` treats all targets as equally close.
     pub failure_domain: Option<FailureDomain>,
-    /// What it costs that a request crosses failure domains, as time by which targets are compared,
-    /// in thousandths of the usual time of its class; default 1000. A far target is chosen when the
-    /// near ones would take twice as long or have no slot that is fit. What is measured of equal
-    /// targets differs by a part of that time, for which no request should cross.
+    /// Cost of sending a request to another failure domain, in thousandths of the usual time of its
+    /// class; default 1000. A remote target is chosen when the local ones would take twice as long
+    /// or have no suitable slot. Estimates of equal targets differ by a part of that time, which
+    /// must not make requests cross.
     pub cross_domain_cost_permille: u32,
-    /// Requests that may wait at once; default 4096, bounded by memory only.
+    /// Maximum number of queued requests; default 4096, a bound on memory only.
     pub queue_max: usize,
-    /// Shortest advice when to come back; default 150 ms.
+    /// Shortest time after which a rejected caller is asked to retry; default 150 ms.
     pub retry_after_min: Duration,
-    /// Longest advice when to come back; default 2 s.
+    /// Longest time after which a rejected caller is asked to retry; default 2 s.
     pub retry_after_max: Duration,
-    /// Failures in a row after which a target is left out; default 3.
+    /// Consecutive failures after which a target is ejected; default 3.
     pub failures_max: u32,
-    /// First time for which a failing target is left out; doubles with each further failure;
-    /// default 400 ms, a few times the usual work.
+    /// Duration of the first ejection, doubled with each further one; default 400 ms, a few times
+    /// the usual work time.
     pub ejection_initial: Duration,
-    /// Longest time for which a failing target is left out; default 4 s.
+    /// Longest duration of an ejection; default 4 s.
     pub ejection_max: Duration,
-    /// An attempt that runs for this many times its expected time says that its target hangs;
-    /// default 6, beyond the factor of 5 by which neighbours slow a target down.
+    /// Multiple of its expected time after which an attempt marks its target as hanging; default 6,
+    /// above the factor of 5 by which neighbours slow a target down.
     pub overdue_factor: f64,
 }
 
--- a/crates/balance/src/slots/estimate.rs
+++ b/crates/balance/src/slots/estimate.rs
@@ -1,4 +1,4 @@
-//! How long a request would take at a target.
+//! Estimates of how long a request takes at a target.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,50 +9,51 @@
 
 use super::WorkClass;
 
-/// Weight of a new sample in the mean work of a class.
+/// Weight of a new sample in the mean work time of a class.
 const WORK_WEIGHT: f64 = 0.05;
-/// Weight of a new sample in what a second request beside the first one costs.
-const CROWDING_WEIGHT: f64 = 0.02;
-/// What a run on a crowded target costs before it has been measured, as a multiple of the time on one
-/// with slots to spare.
-const CROWDING_GUESS: f64 = 1.4;
-/// How much longer runs take on crowded targets before that has been measured; so much that these are
-/// kept uncrowded.
-const SLOWDOWN_GUESS: f64 = 1.5;
-/// The part of a run for which its target is crowded at least, if it is at all. What a crowd costs is
-/// measured over whole runs.
-const CROWDED_PART: f64 = 0.5;
-/// Part of a target's slots that can be in use without crowding it, in thousandths.
-const UNCROWDED_PERMILLE: u32 = 667;
-/// Bounds of the measured cost; noise must not turn it into a gain.
-const CROWDING_BOUNDS: (f64, f64) = (1.0, 3.0);
-/// Weight of a new report in the mean pace.
-const PACE_WEIGHT: f64 = 0.01;
-/// Part of all questions that are answered soon at least where targets answer soon, as a divisor. Fewer
-/// are while all targets are full.
-const SOON_DIVISOR: u64 = 4;
-/// Samples are cut at this multiple of the estimate, so that a single hang moves no mean.
-const SAMPLE_MAX: f64 = 4.0;
-
-/// Requests that a target of so many slots is expected to run without slowing down.
-pub(super) fn uncrowded_slots(slots: u32) -> u32 {
-    (slots * UNCROWDED_PERMILLE / 1000).max(1)
+/// Weight of a new sample in the estimated cost of saturation.
+const SATURATION_WEIGHT: f64 = 0.02;
+/// Initial cost of running on a saturated target, as a multiple of the time on an unsaturated one.
+const SATURATION_COST_INITIAL: f64 = 1.4;
+/// Initial slowdown of runs on saturated targets; high enough to keep targets unsaturated until it
+/// has been measured.
+const SATURATION_SLOWDOWN_INITIAL: f64 = 1.5;
+/// Smallest part of a run during which its target is assumed to be saturated, if it is at all. The
+/// slowdown by saturation is measured over whole runs.
+const SATURATED_PART_MIN: f64 = 0.5;
+/// Part of a target's slots, in thousandths, that can be in use without saturating it.
+const UNSATURATED_PERMILLE: u32 = 667;
+/// Bounds of the measured saturation cost; noise must not turn it into a gain.
+const SATURATION_COST_BOUNDS: (f64, f64) = (1.0, 3.0);
+/// Weight of a new report in the mean slowdown of all targets.
+const SLOWDOWN_WEIGHT: f64 = 0.01;
+/// Divisor that gives the smallest part of prompt probe answers at which targets count as answering
+/// promptly. The part is smaller while all targets are full.
+const PROMPT_PROBES_DIVISOR: u64 = 4;
+/// Samples are capped at this multiple of the estimate, so that a single hang doesn't shift the
+/// mean.
+const SAMPLE_RATIO_MAX: f64 = 4.0;
+
+/// Returns the number of requests that a target with `slots` slots is expected to run without
+/// slowing down.
+pub(super) fn unsaturated_slots(slots: u32) -> u32 {
+    (slots * UNSATURATED_PERMILLE / 1000).max(1)
 }
 
-/// How long work takes at a target now, in thousandths of the usual time.
+/// Time that work takes at a target now, in thousandths of the usual time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Slowdown(u32);
 
 impl Slowdown {
-    /// The usual pace.
+    /// Usual speed.
     pub const NONE: Self = Self(1000);
 
-    /// Wraps thousandths of the usual time.
+    /// Creates a slowdown from thousandths of the usual time.
     pub fn new(permille: u32) -> Self {
         Self(permille)
     }
 
-    /// As a factor of time.
+    /// Returns the slowdown as a factor; 1.0 is the usual speed.
     pub fn factor(self) -> f64 {
         f64::from(self.0) / 1000.0
     }
@@ -73,137 +74,146 @@
     }
 }
 
-/// What the pool has learnt about all its targets together.
+/// Estimates over all targets of a pool.
 #[derive(Debug)]
-pub(super) struct Learnt {
-    first_guess_us: f64,
-    /// Mean time of a class at a target of usual speed and pace with a slot to spare.
+pub(super) struct Estimates {
+    initial_work_us: f64,
+    /// Mean work time by class, for a target of average speed without slowdown or saturation.
     work_us: BTreeMap<WorkClass, f64>,
-    /// Mean over all classes, for one that is new.
-    any_work_us: Option<f64>,
-    /// What a run on a crowded target costs.
-    crowding: f64,
-    /// Mean times of runs on targets that were crowded meanwhile, and on others, as multiples of the
-    /// time expected of an uncrowded one. Both are measured at the same time, so that what slows down
-    /// all targets alike shows in both.
-    crowded_time: f64,
-    uncrowded_time: f64,
-    /// Mean of the paces that targets report.
-    pace: f64,
-    /// Whether any target has told its pace; `None` before one was asked.
-    has_paces: Option<bool>,
-    /// Questions about a target's load that were answered soon, and all of them.
-    answered_soon: u64,
-    asked: u64,
+    /// Mean over all classes, used for a class without samples.
+    mean_work_us: Option<f64>,
+    /// Cost of running on a saturated target, as a multiple of the time on an unsaturated one.
+    saturation_cost: f64,
+    /// Mean times of runs whose target was saturated meanwhile, and of all other runs, as multiples
+    /// of the time expected on an unsaturated target. Both are measured over the same period, so
+    /// that a slowdown of all targets affects both alike.
+    saturated_ratio: f64,
+    unsaturated_ratio: f64,
+    /// Mean of the slowdowns that targets report.
+    mean_slowdown: f64,
+    /// Whether any target has reported its slowdown; `None` before the first probe.
+    reports_slowdown: Option<bool>,
+    /// Number of load probes that were answered promptly, and of all load probes.
+    prompt_probes: u64,
+    probes: u64,
 }
 
-impl Learnt {
-    pub(super) fn new(first_guess: Duration) -> Self {
+impl Estimates {
+    pub(super) fn new(initial_work_time: Duration) -> Self {
         Self {
-            first_guess_us: first_guess.as_micros() as f64,
+            initial_work_us: initial_work_time.as_micros() as f64,
             work_us: BTreeMap::new(),
-            any_work_us: None,
-            crowding: CROWDING_GUESS,
-            crowded_time: SLOWDOWN_GUESS,
-            uncrowded_time: 1.0,
-            pace: 1.0,
-            has_paces: None,
-            answered_soon: 0,
-            asked: 0,
+            mean_work_us: None,
+            saturation_cost: SATURATION_COST_INITIAL,
+            saturated_ratio: SATURATION_SLOWDOWN_INITIAL,
+            unsaturated_ratio: 1.0,
+            mean_slowdown: 1.0,
+            reports_slowdown: None,
+            prompt_probes: 0,
+            probes: 0,
         }
     }
 
     pub(super) fn work_us(&self, class: &WorkClass) -> f64 {
-        let any = self.any_work_us.unwrap_or(self.first_guess_us);
-        self.work_us.get(class).copied().unwrap_or(any)
+        let mean_us = self.mean_work_us.unwrap_or(self.initial_work_us);
+        self.work_us.get(class).copied().unwrap_or(mean_us)
     }
 
-    /// Mean time of a request in a slot, whatever its class.
-    pub(super) fn usual_us(&self) -> f64 {
-        self.any_work_us.unwrap_or(self.first_guess_us)
+    /// Returns the mean time of a request in a slot over all classes.
+    pub(super) fn mean_work_us(&self) -> f64 {
+        self.mean_work_us.unwrap_or(self.initial_work_us)
     }
 
-    /// Whether targets tell their pace, as far as is known.
-    pub(super) fn may_have_paces(&self) -> bool {
-        self.has_paces.unwrap_or(true)
+    /// Returns whether targets report their slowdown; true until the opposite is known.
+    pub(super) fn may_report_slowdown(&self) -> bool {
+        self.reports_slowdown.unwrap_or(true)
     }
 
-    pub(super) fn untold(&mut self) {
-        self.has_paces.get_or_insert(false);
+    pub(super) fn record_missing_load(&mut self) {
+        self.reports_slowdown.get_or_insert(false);
     }
 
-    pub(super) fn saw_question(&mut self, answered_soon: bool) {
-        self.asked += 1;
-        self.answered_soon += u64::from(answered_soon);
+    pub(super) fn record_probe(&mut self, is_prompt: bool) {
+        self.probes += 1;
+        self.prompt_probes += u64::from(is_prompt);
     }
 
-    /// Whether targets usually answer questions about their load soon.
-    pub(super) fn answers_soon(&self) -> bool {
-        self.answered_soon * SOON_DIVISOR > self.asked
+    /// Returns whether targets usually answer load probes promptly.
+    pub(super) fn are_probes_prompt(&self) -> bool {
+        self.prompt_probes * PROMPT_PROBES_DIVISOR > self.probes
     }
 
-    pub(super) fn crowding(&self, crowded: bool) -> f64 {
-        if crowded { self.crowding } else { 1.0 }
+    pub(super) fn saturation_cost(&self, is_saturated: bool) -> f64 {
+        if is_saturated { self.saturation_cost } else { 1.0 }
     }
 
-    /// Whether a target of so many slots serves more when all of them are filled than when it is kept
-    /// uncrowded.
-    pub(super) fn crowded_slots_pay(&self, slots: u32) -> bool {
-        let gain = f64::from(slots) / f64::from(uncrowded_slots(slots)) - 1.0;
-        self.slowdown() - 1.0 < gain * CROWDED_PART
+    /// Returns whether a target with `slots` slots serves more requests when all of them are in use
+    /// than when it is kept unsaturated.
+    pub(super) fn is_saturation_worthwhile(&self, slots: u32) -> bool {
+        let gain = f64::from(slots) / f64::from(unsaturated_slots(slots)) - 1.0;
+        self.saturation_slowdown() - 1.0 < gain * SATURATED_PART_MIN
     }
 
-    /// How much longer runs take that met a crowd.
-    pub(super) fn slowdown(&self) -> f64 {
-        self.crowded_time / self.uncrowded_time
+    /// Returns how much longer runs take if their target is saturated meanwhile.
+    pub(super) fn saturation_slowdown(&self) -> f64 {
+        self.saturated_ratio / self.unsaturated_ratio
     }
 
-    /// Takes the time of a run, as a multiple of the expected one, on a target that was crowded
-    /// meanwhile or was not.
-    pub(super) fn saw_crowd(&mut self, ratio: f64, crowded: bool) {
-        let time = if crowded { &mut self.crowded_time } else { &mut self.uncrowded_time };
-        *time += (ratio.min(SAMPLE_MAX) - *time) * CROWDING_WEIGHT;
+    /// Records the time of a run, as a multiple of the expected time, by whether its target was
+    /// saturated meanwhile.
+    pub(super) fn record_run_ratio(&mut self, ratio: f64, is_saturated: bool) {
+        let mean_ratio =
+            if is_saturated { &mut self.saturated_ratio } else { &mut self.unsaturated_ratio };
+        *mean_ratio += (ratio.min(SAMPLE_RATIO_MAX) - *mean_ratio) * SATURATION_WEIGHT;
     }
 
-    pub(super) fn mean_pace(&self) -> f64 {
-        self.pace
+    pub(super) fn mean_slowdown(&self) -> f64 {
+        self.mean_slowdown
     }
 
-    pub(super) fn saw_pace(&mut self, pace: Slowdown) {
-        self.has_paces = Some(true);
-        self.pace += (pace.factor() - self.pace) * PACE_WEIGHT;
+    pub(super) fn record_slowdown(&mut self, slowdown: Slowdown) {
+        self.reports_slowdown = Some(true);
+        self.mean_slowdown += (slowdown.factor() - self.mean_slowdown) * SLOWDOWN_WEIGHT;
     }
 
-    /// Takes a time measured at a target whose speed and pace were believed to be these.
-    pub(super) fn saw_time(&mut self, class: &WorkClass, time_us: f64, pace: f64, crowded: bool) {
+    /// Records the time of a run at a target with the given slowdown and saturation.
+    pub(super) fn record_work_time(
+        &mut self,
+        class: &WorkClass,
+        time_us: f64,
+        slowdown: f64,
+        is_saturated: bool,
+    ) {
         let known = self.work_us.contains_key(class);
         let work_us = self.work_us(class);
-        let expected_us = work_us * pace * self.crowding(crowded);
-        let ratio = (time_us / expected_us).min(if known { SAMPLE_MAX } else { f64::MAX });
-        if crowded && known {
-            let crowding = self.crowding * (1.0 + (ratio - 1.0) * CROWDING_WEIGHT);
-            self.crowding = crowding.clamp(CROWDING_BOUNDS.0, CROWDING_BOUNDS.1);
+        let expected_us = work_us * slowdown * self.saturation_cost(is_saturated);
+        let ratio = (time_us / expected_us).min(if known { SAMPLE_RATIO_MAX } else { f64::MAX });
+        if is_saturated && known {
+            let saturation_cost = self.saturation_cost * (1.0 + (ratio - 1.0) * SATURATION_WEIGHT);
+            self.saturation_cost =
+                saturation_cost.clamp(SATURATION_COST_BOUNDS.0, SATURATION_COST_BOUNDS.1);
         }
         let sample_us = work_us * ratio;
         let weight = if known { WORK_WEIGHT } else { 1.0 };
         self.work_us.insert(class.clone(), work_us + (sample_us - work_us) * weight);
-        let any = self.any_work_us.get_or_insert(sample_us);
-        *any += (sample_us - *any) * WORK_WEIGHT;
+        let mean_us = self.mean_work_us.get_or_insert(sample_us);
+        *mean_us += (sample_us - *mean_us) * WORK_WEIGHT;
     }
 }
 
-/// A target's last word on its pace.
+/// Last slowdown reported by a target.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct PaceReport {
-    pub(super) pace: Slowdown,
-    pub(super) at: Mono,
+pub(super) struct SlowdownReport {
+    pub(super) slowdown: Slowdown,
+    pub(super) reported_at: Mono,
 }
 
-impl PaceReport {
-    /// The pace to expect now: the report counts less with age, the mean of all targets more.
-    pub(super) fn expected(self, now: Mono, memory: Duration, mean: f64) -> f64 {
-        let age_us = now.since(self.at).as_micros() as f64;
-        let trust = (-age_us / memory.as_micros() as f64).exp();
-        mean + (self.pace.factor() - mean) * trust
+impl SlowdownReport {
+    /// Returns the slowdown expected now. With age, the report loses weight in favour of the mean of
+    /// all targets.
+    pub(super) fn expected(self, now: Mono, decay: Duration, mean: f64) -> f64 {
+        let age_us = now.since(self.reported_at).as_micros() as f64;
+        let weight = (-age_us / decay.as_micros() as f64).exp();
+        mean + (self.slowdown.factor() - mean) * weight
     }
 }
--- a/crates/balance/src/slots/pool.rs
+++ b/crates/balance/src/slots/pool.rs
@@ -1,4 +1,4 @@
-//! Gives out the slots of one service.
+//! Pool that assigns the slots of one service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use shallotfork_types::{FailureDomain, Mono, Permille, TargetId, Warmup};
 
 use super::config::SlotPoolConfig;
-use super::estimate::Learnt;
+use super::estimate::Estimates;
 use super::probe_budget::ProbeBudget;
 use super::published::{SlotOutcome, SlotTarget, TargetLoad, TargetStateChange};
 use super::queue::SlotQueue;
@@ -14,117 +14,122 @@
 use super::{SlotRequest, WorkClass};
 use crate::{Admission, Assignment, AttemptId, Shed, ShedReason, Ticket, Woken};
 
-/// Beyond this, what did not come in time may have come; a timer is a millisecond or two late.
-const OWN_LATENESS_MAX: Duration = Duration::from_millis(8);
+/// Scheduling delay of this process beyond which an answer that seems missing may have arrived
+/// unread. Timers fire a millisecond or two late in any case.
+const OWN_SCHEDULING_DELAY_MAX: Duration = Duration::from_millis(8);
 
-/// Processes that share the targets of a service and each know most of what runs there.
-const FEW_SHARERS: usize = 12;
+/// Largest number of processes sharing the targets of a service at which each of them knows most of
+/// the requests that run there.
+const FEW_SHARERS_MAX: usize = 12;
 
-/// Targets that are asked at one turn for each request that waits. Most of those that are asked turn
-/// out to be slow still; with one, the end of a slow phase would often go unseen.
+/// Targets probed in one round per waiting request. Most of the probed targets are still slow; with
+/// a single probe the end of a slow phase would often be missed.
 const PROBES_PER_WAITING: usize = 4;
 
-/// Which targets may be chosen.
+/// Selects which targets may be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Choice {
-    /// Those that don't say that they are slow at the moment.
-    Quick,
-    /// All with a free slot.
+pub(super) enum TargetFilter {
+    /// Targets that don't report a slow phase.
+    NotSlow,
+    /// All targets with a free slot.
     Any,
 }
 
-/// A target that answers a request still counts it as running. Taken for a request of another
-/// process, it would make the target look half full for as long as the report counts.
-fn without_the_answered(figures: TargetLoad) -> TargetLoad {
-    TargetLoad { running: figures.running.saturating_sub(1), ..figures }
+/// Excludes the answered request, which the target still counts as running, from its load report.
+/// Counted as a request of another process, it would make the target look half full until the
+/// report expires.
+fn exclude_answered_request(load: TargetLoad) -> TargetLoad {
+    TargetLoad { running: load.running.saturating_sub(1), ..load }
 }
 
-/// Decides for one service which request goes to which target, and when.
+/// Decides which target serves each request of one service, and when.
 ///
-/// - At most as many requests are at a target as it has slots, so that none waits there, where it
-///   could neither be reordered nor taken back.
-/// - Requests that can still be answered within their objective go first, then those that come
-///   back after a refusal, then the rest; within each by rank, then by arrival.
-/// - A request that has waited for its whole allowance is refused at once with the time when a
-///   slot is expected, rather than kept until its caller gives up.
-/// - When all serving targets look bad, the evidence is ignored rather than serving nobody.
+/// - A target receives at most as many requests as it has slots, so that none is queued at the
+///   target, where it could be neither reordered nor withdrawn.
+/// - Requests that can still be answered within their objective are served first, then those
+///   resubmitted after a rejection, then the rest; within each group by rank, then by arrival.
+/// - A request whose waiting time is used up is rejected at once, with the time at which a slot is
+///   expected, rather than kept until its caller gives up.
+/// - If all serving targets look unhealthy, their health is ignored, so that requests are still
+///   served.
 #[derive(Debug)]
 pub struct SlotPool {
     pub(super) config: SlotPoolConfig,
     pub(super) targets: BTreeMap<TargetId, Target>,
     pub(super) attempts: BTreeMap<AttemptId, TargetId>,
     pub(super) queue: SlotQueue,
-    pub(super) learnt: Learnt,
-    /// Changes of belief that nobody has taken yet.
-    beliefs: Vec<TargetStateChange>,
-    /// Names of the processes that callers are sent to, which send requests to these targets.
+    pub(super) estimates: Estimates,
+    /// State changes that have not been taken yet.
+    state_changes: Vec<TargetStateChange>,
+    /// Names of the processes that are advertised to callers and send requests to these targets.
     pub(super) sharers: Vec<String>,
-    /// The part of what cold targets bear that these processes may use.
-    pub(super) sharers_part: Permille,
-    /// What targets bear while they are cold; `None` if they have no such limit.
+    /// Part of the warm-up rate of cold targets that all sharers together may use.
+    pub(super) sharers_total_share: Permille,
+    /// Warm-up rate of cold targets; `None` if they have no such limit.
     pub(super) warmup: Option<Warmup>,
     serving_slots: u32,
-    /// Those of them that are used at a time. Counted when it may change, and not for each choice:
-    /// with hundreds of targets and waiting requests that would take longer than serving them.
+    /// Number of slots in use at a time at most. Recounted only when it may have changed: with
+    /// hundreds of targets and waiting requests, counting for each choice would take longer than
+    /// serving the requests.
     usable_slots: u32,
-    /// Bounds the probes while requests wait.
-    probes: ProbeBudget,
+    /// Bounds the probes sent while requests wait.
+    probe_budget: ProbeBudget,
     last_id: u64,
 }
 
 impl SlotPool {
-    /// A pool without targets.
+    /// Creates a pool without targets.
     pub fn new(config: SlotPoolConfig) -> Self {
-        let learnt = Learnt::new(config.initial_work_time);
+        let estimates = Estimates::new(config.initial_work_time);
         Self {
             config,
             targets: BTreeMap::new(),
             attempts: BTreeMap::new(),
             queue: SlotQueue::default(),
-            learnt,
-            beliefs: Vec::new(),
+            estimates,
+            state_changes: Vec::new(),
             sharers: Vec::new(),
-            sharers_part: Permille::new(0),
+            sharers_total_share: Permille::new(0),
             warmup: None,
             serving_slots: 0,
             usable_slots: 0,
-            probes: ProbeBudget::new(),
+            probe_budget: ProbeBudget::new(),
             last_id: 0,
         }
     }
 
-    /// Whether this process uses as many slots as any of those that share them may.
+    /// Returns whether this process already uses an equal share of the usable slots.
     ///
-    /// Under overload each process fills a slot that it gives back again before another one hears of
-    /// it: whoever happened to have most went on having most, and of three processes with equal load
-    /// one refused 300 requests a second and the others ten. One that has its share leaves slots far
-    /// away to those nearby; one that has less takes what is free anywhere, since its own failure
-    /// domain may have few.
-    pub(super) fn has_share(&self) -> bool {
+    /// Under overload a process reuses a slot that it has freed before another process learns of
+    /// it, so that an uneven distribution persists: of three processes with equal load one rejected
+    /// 300 requests a second and the others ten. A process that has reached its share leaves slots
+    /// in other failure domains to the processes there. One with less takes any free slot, since
+    /// its own failure domain may have few.
+    pub(super) fn has_reached_share(&self) -> bool {
         self.attempts.len() * self.sharers.len().max(1) >= self.usable_slots() as usize
     }
 
-    /// Slots of all targets that take new work.
+    /// Returns the number of slots of all targets that take new work.
     pub(super) fn serving_slots(&self) -> u32 {
         self.serving_slots
     }
 
-    /// Those of them that are used at a time.
+    /// Returns how many of the serving slots may be in use at a time.
     pub(super) fn usable_slots(&self) -> u32 {
         self.usable_slots
     }
 
     fn count_usable_slots(&mut self) {
         let serving = self.targets.values().filter(|target| target.published.serving);
-        self.usable_slots = serving.map(|target| target.usable_slots(&self.learnt)).sum();
+        self.usable_slots = serving.map(|target| target.usable_slots(&self.estimates)).sum();
     }
 
-    /// Takes the published targets; what is known of those that stay is kept.
+    /// Sets the published targets and keeps the state of those that were known before.
     pub fn set_targets(&mut self, published: Vec<SlotTarget>, now: Mono) -> Vec<Woken> {
         let mut known = std::mem::take(&mut self.targets);
-        let cold_max = self.cold_max();
+        let cold_for_max = self.cold_for_max();
         for mut target in published {
-            target.cold_for = target.cold_for.min(cold_max);
+            target.cold_for = target.cold_for.min(cold_for_max);
             let id = target.id.clone();
             let next = match known.remove(&id) {
                 Some(old) => old.with_published(target, now),
@@ -139,307 +144,330 @@
         self.wake(now)
     }
 
-    /// Forgets what is known of a target that has started again.
+    /// Discards the state of a target that has restarted.
     pub fn reset_target(&mut self, id: &TargetId, now: Mono) {
         let Some(old) = self.targets.remove(id) else { return };
         self.targets.insert(id.clone(), Target::new(old.published, &self.config, now));
         self.add_warmup_shares(now);
     }
 
-    /// Decides about a request.
-    pub fn admit(&mut self, ask: SlotRequest, now: Mono) -> Admission {
-        if ask.deadline <= now {
+    /// Admits, queues or sheds a request.
+    pub fn admit(&mut self, request: SlotRequest, now: Mono) -> Admission {
+        if request.deadline <= now {
             return Admission::Shed(self.shed(ShedReason::DeadlinePassed, now));
         }
-        if !self.has_target_for(&ask, now) {
+        if !self.has_target_for(&request, now) {
             return Admission::Shed(self.shed(ShedReason::NoTarget, now));
         }
-        let ahead = self.queue.iter().filter(|(_, other)| self.goes_before(other, &ask, now));
+        let ahead = self.queue.iter().filter(|(_, other)| self.precedes(other, &request, now));
         let ahead = ahead.count();
-        // Whoever waits can't use what is free now, or would have it already.
-        if let Some(assignment) = self.assign(&ask, Choice::Quick, now) {
+        // Requests in the queue can't use the slots that are free now, or they would have been
+        // assigned.
+        if let Some(assignment) = self.assign(&request, TargetFilter::NotSlow, now) {
             return Admission::Send(assignment);
         }
-        let wait_end = self.wait_end(&ask, now);
-        if wait_end <= now {
-            return self.assign_any_or_shed(&ask, now);
+        let wait_until = self.wait_until(&request, now);
+        if wait_until <= now {
+            return self.assign_any_or_shed(&request, now);
         }
-        let start = now.plus(self.expected_wait(ahead, &ask, now));
+        let start = now.plus(self.expected_wait(ahead, &request, now));
         if self.queue.len() >= self.config.queue_max {
             return Admission::Shed(self.shed(ShedReason::QueueFull, now));
         }
-        if start > wait_end {
+        if start > wait_until {
             return Admission::Shed(self.shed(ShedReason::DeadlineTooNear, now));
         }
         let ticket = Ticket(self.next_id());
-        self.queue.push(ticket, ask);
+        self.queue.push(ticket, request);
         Admission::Queued(ticket)
     }
 
-    /// The refusal of a request that targets have turned away.
+    /// Returns the rejection of a request that targets have turned away.
     pub fn shed_no_target(&self, now: Mono) -> Shed {
         self.shed(ShedReason::NoTarget, now)
     }
 
-    /// A second target for a request that is in flight, if one is free now.
-    pub fn assign_hedge(&mut self, ask: &SlotRequest, now: Mono) -> Option<Assignment> {
+    /// Assigns a second target for a request that is in flight, if one is free now and no request
+    /// waits.
+    pub fn assign_hedge(&mut self, request: &SlotRequest, now: Mono) -> Option<Assignment> {
         if !self.queue.is_empty() {
             return None;
         }
-        self.assign(ask, Choice::Quick, now)
+        self.assign(request, TargetFilter::NotSlow, now)
     }
 
-    /// Takes an attempt back, learns from its outcome and gives its slot to a waiting request.
+    /// Ends an attempt, records its outcome and assigns its slot to a waiting request.
     pub fn finish(
         &mut self,
         attempt: AttemptId,
         outcome: SlotOutcome,
-        figures: Option<TargetLoad>,
+        load: Option<TargetLoad>,
         now: Mono,
     ) -> Vec<Woken> {
         let Some(id) = self.attempts.remove(&attempt) else { return Vec::new() };
         if let Some(target) = self.targets.get_mut(&id) {
-            if let Some(running) = target.end(attempt) {
-                let change = target.learn(&running, outcome, &self.config, &mut self.learnt, now);
-                let belief = change.map(|change| TargetStateChange { target: id.clone(), change });
-                self.beliefs.extend(belief);
+            if let Some(running) = target.remove_attempt(attempt) {
+                let change = target.record_outcome(
+                    &running,
+                    outcome,
+                    &self.config,
+                    &mut self.estimates,
+                    now,
+                );
+                let state_change =
+                    change.map(|change| TargetStateChange { target: id.clone(), change });
+                self.state_changes.extend(state_change);
             }
-            if let Some(figures) = figures {
-                target.report(without_the_answered(figures), &mut self.learnt, now);
+            if let Some(load) = load {
+                target.record_load(exclude_answered_request(load), &mut self.estimates, now);
             }
         }
         self.count_usable_slots();
-        self.probes.answered();
-        self.wake_for(&id, now)
+        self.probe_budget.record_answer();
+        self.wake_for_target(&id, now)
     }
 
-    /// Takes a target's account of its load that came with a probe's answer.
-    pub fn record_load(&mut self, id: &TargetId, figures: TargetLoad, now: Mono) -> Vec<Woken> {
+    /// Records the load that a target reported in a probe answer.
+    pub fn record_load(&mut self, id: &TargetId, load: TargetLoad, now: Mono) -> Vec<Woken> {
         let Some(target) = self.targets.get_mut(id) else { return Vec::new() };
         target.is_silent = false;
-        target.report(figures, &mut self.learnt, now);
-        self.wake_for(id, now)
+        target.record_load(load, &mut self.estimates, now);
+        self.wake_for_target(id, now)
     }
 
-    /// Gives up a place in the queue.
+    /// Removes a request from the queue.
     pub fn cancel(&mut self, ticket: Ticket) {
         self.queue.remove(ticket);
     }
 
-    /// Refuses those who have waited long enough and uses targets whose time has come. To be called
-    /// at short intervals while requests wait.
+    /// Sheds requests that have waited long enough and uses targets whose ejection has ended. To be
+    /// called at short intervals while requests wait.
     pub fn expire(&mut self, now: Mono) -> Vec<Woken> {
         self.wake(now)
     }
 
-    /// When to call `expire` next; `None` while nothing waits.
+    /// Returns when to call `expire` next; `None` while nothing waits.
     pub fn next_expiry(&self, now: Mono) -> Option<Mono> {
-        let ends = self.queue.iter().map(|(_, ask)| self.wait_end(ask, ask.arrived_at));
+        let ends =
+            self.queue.iter().map(|(_, request)| self.wait_until(request, request.arrived_at));
         let first = ends.min()?;
-        let returning = self.targets.values().filter_map(Target::ejected_until);
-        let returning = returning.filter(|until| *until > now).min();
-        Some(returning.map_or(first, |at| at.min(first)))
+        let reinstated_at = self.targets.values().filter_map(Target::ejected_until);
+        let reinstated_at = reinstated_at.filter(|until| *until > now).min();
+        Some(reinstated_at.map_or(first, |at| at.min(first)))
     }
 
-    /// Whether a target should be asked for its pace before a request is sent to it.
+    /// Returns whether a target should be probed before a request is sent to it.
     pub fn needs_probe(&self, id: &TargetId, now: Mono) -> bool {
         let SlotPoolConfig { load_max_age, cold_report_max_age, .. } = self.config;
         let Some(target) = self.targets.get(id) else { return false };
-        let is_stale = target.pace_is_stale(now, load_max_age)
-            || self.warmup.is_some() && target.may_have_turned_cold(now, cold_report_max_age);
-        self.learnt.may_have_paces() && target.rate_share.is_none() && is_stale
+        let is_stale = target.is_slowdown_stale(now, load_max_age)
+            || self.warmup.is_some() && target.is_cold_report_stale(now, cold_report_max_age);
+        self.estimates.may_report_slowdown() && target.rate_share.is_none() && is_stale
     }
 
-    /// Whether another slot than the one assigned, or a later one, is better: the target takes no new
-    /// work any more, has turned cold, works slowly now by its own word, or is filled by other
-    /// processes.
-    pub fn is_unfit(&self, assignment: &Assignment, ask: &SlotRequest, now: Mono) -> bool {
+    /// Returns whether a later slot or one at another target is better than the assigned one,
+    /// because the target takes no new work any more, has turned cold, reports a slow phase, or is
+    /// filled by other processes.
+    pub fn is_unfit(&self, assignment: &Assignment, request: &SlotRequest, now: Mono) -> bool {
         let Some(target) = self.targets.get(&assignment.target) else { return true };
         !target.published.serving
             || target.was_assigned_warm(assignment.attempt)
-            || target.is_overfull(now)
-            || target.is_slow(ask, now, &self.config, &self.learnt)
+            || target.is_overfilled(now)
+            || target.is_slow(request, now, &self.config, &self.estimates)
     }
 
-    /// A target answered without telling its load. If none has ever told it, none is asked again.
+    /// Records that a target answered without reporting its load. If no target has ever reported
+    /// its load, none is probed again.
     pub fn record_missing_load(&mut self) {
-        self.learnt.untold();
+        self.estimates.record_missing_load();
     }
 
-    /// An attempt leaves for its target now. Returns whether the target is cold.
+    /// Records that an attempt is sent to its target now. Returns whether the target is cold.
     pub fn mark_sent(&mut self, attempt: AttemptId, now: Mono) -> bool {
         let Some(id) = self.attempts.get(&attempt) else { return false };
         let Some(target) = self.targets.get_mut(id) else { return false };
-        target.sending(attempt, now, &self.config, &self.learnt);
+        target.mark_sent(attempt, now, &self.config, &self.estimates);
         target.is_cold(now)
     }
 
-    /// A target has not answered soon when it was asked for its load. It most likely has no slot for
-    /// the question; until it answers, others are chosen before it.
+    /// Records that a target has not answered a load probe promptly. It most likely has no free
+    /// slot for the probe, so other targets are preferred until it answers.
     pub fn record_unanswered_probe(&mut self, id: &TargetId) {
-        self.learnt.saw_question(false);
+        self.estimates.record_probe(false);
         if let Some(target) = self.targets.get_mut(id) {
             target.is_silent = true;
         }
     }
 
-    /// A target has answered soon when it was asked for its load.
+    /// Records that a target has answered a load probe promptly.
     pub fn record_prompt_probe(&mut self) {
-        self.learnt.saw_question(true);
+        self.estimates.record_probe(true);
     }
 
-    /// The refusal of a request that found only targets which let the question wait, as full ones do;
-    /// `None` if sound targets of this service answer as late, or if so few processes share the targets
-    /// that this one's own count of free slots says more.
+    /// Returns the rejection of a request that found only targets which leave the probe waiting, as
+    /// full ones do. Returns `None` if healthy targets of this service answer just as late, or if
+    /// the targets are shared by so few processes that this one's own count of free slots is more
+    /// accurate.
     pub fn shed_full(&self, now: Mono) -> Option<Shed> {
-        let is_full = self.sharers.len() > FEW_SHARERS && self.learnt.answers_soon();
+        let is_full = self.sharers.len() > FEW_SHARERS_MAX && self.estimates.are_probes_prompt();
         is_full.then(|| self.shed(ShedReason::DeadlineTooNear, now))
     }
 
-    /// A target has answered a question about its load without telling it.
+    /// Records that a target has answered a load probe without reporting its load.
     pub fn record_probe_without_load(&mut self, id: &TargetId) {
         if let Some(target) = self.targets.get_mut(id) {
             target.is_silent = false;
         }
     }
 
-    /// A target could not be asked for its load, or has not answered at all. This process noticed
-    /// later than it wanted to, by `late_by`.
+    /// Records that a load probe could not be sent or was not answered at all. `scheduling_delay`
+    /// is how late this process noticed it.
     ///
-    /// A process that is short of processor time finds no answer in time although all have come.
-    /// Right after a loss of all entries that would leave out sound targets by the dozen.
-    pub fn record_failed_probe(&mut self, id: &TargetId, late_by: Duration, now: Mono) {
+    /// A process that is short of processor time reads answers too late although they arrived in
+    /// time. After a restart of all entries this would eject healthy targets by the dozen.
+    pub fn record_failed_probe(&mut self, id: &TargetId, scheduling_delay: Duration, now: Mono) {
         let Some(target) = self.targets.get_mut(id) else { return };
         target.is_silent = false;
-        if late_by <= OWN_LATENESS_MAX {
-            let change = target.probe_failed(&self.config, now);
-            self.beliefs
+        if scheduling_delay <= OWN_SCHEDULING_DELAY_MAX {
+            let change = target.record_failed_probe(&self.config, now);
+            self.state_changes
                 .extend(change.map(|change| TargetStateChange { target: id.clone(), change }));
         }
     }
 
-    /// Targets with a free slot whose pace may have changed, while requests wait for one; each
-    /// counts as probed from now on. Near ones first, and those that were heard of longest ago.
+    /// Returns the targets with a free slot whose slowdown may have changed, if requests wait, and
+    /// marks them as probed. Local targets come first, then those with the oldest report.
     ///
-    /// A few for each request that waits, and not many more than there are answers to show for it.
-    /// When all targets are asked at each turn, hundreds of them 40 times a second, asking takes the
-    /// processor time that the requests wait for: the queue grows, more targets are asked, and that
-    /// lasts long after the burst that began it.
+    /// The number of probes is bounded by the number of waiting requests and of recent answers.
+    /// Probing hundreds of targets 40 times a second takes the processor time that the requests
+    /// wait for: the queue grows, more targets are probed, and the overload outlasts the burst that
+    /// caused it.
     pub fn due_probes(&mut self, now: Mono) -> Vec<TargetId> {
         if self.queue.is_empty() {
             return Vec::new();
         }
-        let (config, learnt, has_share) = (&self.config, &self.learnt, self.has_share());
+        let (config, estimates, has_reached_share) =
+            (&self.config, &self.estimates, self.has_reached_share());
         let serving = self.targets.iter().filter(|(_, target)| target.published.serving);
-        let wanted =
-            serving.filter(|(_, target)| target.wants_probe(now, config, learnt, has_share));
-        let mut order: Vec<(bool, Mono, &TargetId)> =
-            wanted.map(|(id, target)| (target.is_far(config), target.told_at(), id)).collect();
-        order.sort();
-        let useful = self.queue.len() * PROBES_PER_WAITING;
-        order.truncate(self.probes.take(useful.min(order.len()), now));
-        let due: Vec<TargetId> = order.into_iter().map(|(_, _, id)| id.clone()).collect();
+        let due_targets = serving
+            .filter(|(_, target)| target.is_probe_due(now, config, estimates, has_reached_share));
+        let mut candidates: Vec<(bool, Mono, &TargetId)> = due_targets
+            .map(|(id, target)| (target.is_remote(config), target.slowdown_reported_at(), id))
+            .collect();
+        candidates.sort();
+        let wanted = self.queue.len() * PROBES_PER_WAITING;
+        candidates.truncate(self.probe_budget.take(wanted.min(candidates.len()), now));
+        let due: Vec<TargetId> = candidates.into_iter().map(|(_, _, id)| id.clone()).collect();
         for id in &due {
             if let Some(target) = self.targets.get_mut(id) {
-                target.probed(now);
+                target.mark_probed(now);
             }
         }
         due
     }
 
-    /// What has changed in the beliefs about targets since the last call.
+    /// Returns the state changes of targets since the last call.
     pub fn take_state_changes(&mut self) -> Vec<TargetStateChange> {
-        std::mem::take(&mut self.beliefs)
+        std::mem::take(&mut self.state_changes)
     }
 
-    /// Requests waiting here.
+    /// Returns the number of queued requests.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Attempts in flight at targets of one failure domain.
+    /// Returns the number of attempts in flight at targets of one failure domain.
     pub fn running_in(&self, failure_domain: &FailureDomain) -> usize {
-        let there = |t: &&Target| t.published.failure_domain == *failure_domain;
-        self.targets.values().filter(there).map(|target| target.running.len()).sum()
+        let is_in_domain = |t: &&Target| t.published.failure_domain == *failure_domain;
+        self.targets.values().filter(is_in_domain).map(|target| target.running.len()).sum()
     }
 
-    /// Attempts in flight.
+    /// Returns the number of attempts in flight.
     pub fn running(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Expected time of a class at a target of usual speed.
+    /// Returns the expected time of a class at a target of average speed.
     pub fn usual_time(&self, class: &WorkClass) -> Duration {
-        Duration::from_micros((self.learnt.work_us(class) * self.learnt.mean_pace()) as u64)
+        Duration::from_micros(
+            (self.estimates.work_us(class) * self.estimates.mean_slowdown()) as u64,
+        )
     }
 
-    pub(super) fn has_target_for(&self, ask: &SlotRequest, now: Mono) -> bool {
-        self.targets.iter().any(|(id, t)| t.accepts_work(now) && !ask.exclude.contains(id))
+    pub(super) fn has_target_for(&self, request: &SlotRequest, now: Mono) -> bool {
+        self.targets.iter().any(|(id, t)| t.accepts_work(now) && !request.exclude.contains(id))
     }
 
     pub(super) fn assign(
         &mut self,
-        ask: &SlotRequest,
-        choice: Choice,
+        request: &SlotRequest,
+        filter: TargetFilter,
         now: Mono,
     ) -> Option<Assignment> {
-        self.assign_among(ask, choice, None, now)
+        self.assign_among(request, filter, None, now)
     }
 
-    /// A slot of the best target, or of one only.
+    /// Assigns a slot of the best target, or of the target `only`.
     pub(super) fn assign_among(
         &mut self,
-        ask: &SlotRequest,
-        choice: Choice,
+        request: &SlotRequest,
+        filter: TargetFilter,
         only: Option<&TargetId>,
         now: Mono,
     ) -> Option<Assignment> {
-        let (config, learnt, has_share) = (&self.config, &self.learnt, self.has_share());
+        let (config, estimates, has_reached_share) =
+            (&self.config, &self.estimates, self.has_reached_share());
         let among = match only {
             Some(id) => self.targets.range::<TargetId, _>(id..=id),
             None => self.targets.range::<TargetId, _>(..),
         };
         let open = among.filter(|(id, target)| {
             target.published.serving
-                && !ask.exclude.contains(id)
-                && target.open_slots(now, config, learnt, has_share) > 0
+                && !request.exclude.contains(id)
+                && target.open_slots(now, config, estimates, has_reached_share) > 0
         });
         let open = open.filter(|(_, target)| {
-            choice == Choice::Any || !target.is_slow(ask, now, config, learnt)
+            filter == TargetFilter::Any || !target.is_slow(request, now, config, estimates)
         });
-        let (good, bad): (Vec<_>, Vec<_>) =
-            open.partition(|(_, target)| target.looks_sound(now, config));
-        let candidates = if good.is_empty() && self.ignores_evidence(now) { bad } else { good };
-        let cost = |target: &Target| target.cost_us(ask, now, config, learnt);
-        let order = |a: &Target, b: &Target| cost(a).total_cmp(&cost(b)).then(a.turn.cmp(&b.turn));
-        let best = candidates.into_iter().min_by(|a, b| order(a.1, b.1));
+        let (healthy, unhealthy): (Vec<_>, Vec<_>) =
+            open.partition(|(_, target)| target.looks_healthy(now, config));
+        let candidates =
+            if healthy.is_empty() && self.ignores_health(now) { unhealthy } else { healthy };
+        let cost = |target: &Target| target.cost_us(request, now, config, estimates);
+        let compare = |a: &Target, b: &Target| {
+            cost(a).total_cmp(&cost(b)).then(a.tie_breaker.cmp(&b.tie_breaker))
+        };
+        let best = candidates.into_iter().min_by(|a, b| compare(a.1, b.1));
         let id = best?.0.clone();
         let attempt = AttemptId(self.next_id());
         let target = self.targets.get_mut(&id)?;
-        target.start(attempt, &ask.class, now);
+        target.start_attempt(attempt, &request.class, now);
         self.attempts.insert(attempt, id.clone());
         Some(Assignment { attempt, target: id })
     }
 
-    /// For a request that has waited long enough: a slow slot is better than none, unless more
-    /// requests wait than slots are free. Then each slot that is used in a slow phase, for five
-    /// times as long, keeps several of them waiting until they are late too.
-    pub(super) fn assign_any_or_shed(&mut self, ask: &SlotRequest, now: Mono) -> Admission {
-        let choice =
-            if self.queue.len() <= self.free_slots(now) { Choice::Any } else { Choice::Quick };
-        match self.assign(ask, choice, now) {
+    /// Assigns any slot to a request that has waited long enough, since a slow slot is better than
+    /// none; slow slots are left out if more requests wait than slots are free. A slot used in a
+    /// slow phase is taken for five times as long and would make several waiting requests late.
+    pub(super) fn assign_any_or_shed(&mut self, request: &SlotRequest, now: Mono) -> Admission {
+        let filter = if self.queue.len() <= self.free_slots(now) {
+            TargetFilter::Any
+        } else {
+            TargetFilter::NotSlow
+        };
+        match self.assign(request, filter, now) {
             Some(assignment) => Admission::Send(assignment),
             None => Admission::Shed(self.shed(ShedReason::DeadlineTooNear, now)),
         }
     }
 
-    /// Whether all targets look bad, so that the fault is more likely this process's own. While some
-    /// look sound, even if they are full, those that look bad are not tried: after the loss of a
-    /// failure domain requests would be spent on dead targets and refused, that a sound one could have
-    /// served a moment later.
-    fn ignores_evidence(&self, now: Mono) -> bool {
+    /// Returns whether all targets look unhealthy, in which case the fault is more likely in this
+    /// process. While some targets look healthy, even if they are full, the others are not tried:
+    /// after the loss of a failure domain, requests would be spent on dead targets and rejected
+    /// although a healthy target could have served them a moment later.
+    fn ignores_health(&self, now: Mono) -> bool {
         let mut serving = self.targets.values().filter(|target| target.published.serving);
-        serving.all(|target| !target.looks_sound(now, &self.config))
+        serving.all(|target| !target.looks_healthy(now, &self.config))
     }
 
     fn next_id(&mut self) -> u64 {
--- a/crates/balance/src/slots/probe_budget.rs
+++ b/crates/balance/src/slots/probe_budget.rs
@@ -1,38 +1,38 @@
-//! How many targets may be asked for their load while requests wait.
+//! Budget for load probes while requests wait.
 
 use shallotfork_types::Mono;
 
-/// Probes that each answer to a request pays for.
+/// Probes added to the budget by each answered request.
 const PROBES_PER_ANSWER: f64 = 4.0;
-/// Probes a second besides, so that asking goes on when no answers come.
+/// Probes added to the budget per second, so that probing goes on without any answers.
 const PROBES_PER_S: f64 = 100.0;
-/// Probes that can be saved up.
-const SAVED_MAX: f64 = 100.0;
+/// Largest number of probes that the budget can hold.
+const BUDGET_MAX: f64 = 100.0;
 
-/// Keeps what is spent on asking in proportion to what comes of it.
+/// Keeps the number of probes in proportion to the number of answered requests.
 #[derive(Debug)]
 pub(super) struct ProbeBudget {
-    saved: f64,
-    at: Mono,
+    available: f64,
+    updated_at: Mono,
 }
 
 impl ProbeBudget {
     pub(super) fn new() -> Self {
-        Self { saved: SAVED_MAX, at: Mono::ZERO }
+        Self { available: BUDGET_MAX, updated_at: Mono::ZERO }
     }
 
-    /// A target has answered a request.
-    pub(super) fn answered(&mut self) {
-        self.saved = (self.saved + PROBES_PER_ANSWER).min(SAVED_MAX);
+    /// Adds the probes earned by one answered request.
+    pub(super) fn record_answer(&mut self) {
+        self.available = (self.available + PROBES_PER_ANSWER).min(BUDGET_MAX);
     }
 
-    /// Takes leave for probes; how many of those wanted may be sent.
+    /// Takes up to `wanted` probes from the budget and returns how many may be sent.
     pub(super) fn take(&mut self, wanted: usize, now: Mono) -> usize {
-        let passed_s = now.since(self.at).as_secs_f64();
-        self.at = now;
-        self.saved = (self.saved + passed_s * PROBES_PER_S).min(SAVED_MAX);
-        let taken = wanted.min(self.saved as usize);
-        self.saved -= taken as f64;
+        let elapsed_s = now.since(self.updated_at).as_secs_f64();
+        self.updated_at = now;
+        self.available = (self.available + elapsed_s * PROBES_PER_S).min(BUDGET_MAX);
+        let taken = wanted.min(self.available as usize);
+        self.available -= taken as f64;
         taken
     }
 }
--- a/crates/balance/src/slots/published.rs
+++ b/crates/balance/src/slots/published.rs
@@ -1,4 +1,4 @@
-//! What a pool is told of targets, and what it says about them.
+//! Inputs of a pool about its targets, and the state changes that it reports.
 
 use std::time::Duration;
 
@@ -6,75 +6,75 @@
 
 use super::Slowdown;
 
-/// A target as published.
+/// Target as published by the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SlotTarget {
-    /// The target.
+    /// Identifies the target.
     pub id: TargetId,
-    /// Where it stands.
+    /// Failure domain in which the target runs.
     pub failure_domain: FailureDomain,
-    /// Requests that it runs at once.
+    /// Number of requests that the target runs at a time.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the target takes new work.
     pub serving: bool,
-    /// How much longer it is slow after its start.
+    /// How much longer the target is cold after its start.
     pub cold_for: Duration,
 }
 
-/// What a target says of its load.
+/// Load that a target reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TargetLoad {
-    /// Requests that it runs.
+    /// Requests running at the target.
     pub running: u32,
-    /// Requests that wait at it.
+    /// Requests waiting at the target.
     pub waiting: u32,
-    /// Requests that it can run at once.
+    /// Number of requests that the target can run at a time.
     pub slots: u32,
-    /// How long work takes there at this moment, if it says so.
+    /// Current slowdown of the target, if it reports one.
     pub slowdown: Option<Slowdown>,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotOutcome {
-    /// A whole answer that is no server error came after this time.
+    /// The target sent a complete answer without a server error.
     Answered {
-        /// From sending to the last byte of the answer.
+        /// Time from sending the request to the last byte of the answer.
         latency: Duration,
     },
-    /// A server error, or an answer that is not whole or not its own.
+    /// The target sent a server error, an incomplete answer, or another target's answer.
     Failed,
     /// No connection could be opened.
     Unreachable,
-    /// It said that it has no room.
+    /// The target reported that it has no capacity.
     Full,
-    /// Another target answers at its address.
+    /// Another target answers at the address.
     Misdirected,
-    /// No answer came in time.
+    /// No answer arrived within the timeout.
     TimedOut,
-    /// Given up for a reason that is not the target's.
+    /// The attempt was given up for a reason unrelated to the target.
     Cancelled,
 }
 
-/// A change of what a pool thinks of a target.
+/// State change of one target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetStateChange {
-    /// The target.
+    /// Identifies the target.
     pub target: TargetId,
-    /// What has changed.
+    /// The change.
     pub change: StateChange,
 }
 
-/// What has changed in the belief about a target.
+/// Kind of a target's state change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateChange {
-    /// It is left out for a while.
+    /// The target was ejected.
     Ejected {
-        /// Failures in a row that decided it.
+        /// Consecutive failures that led to the ejection.
         failures: u32,
-        /// For how long.
+        /// Duration of the ejection.
         pause: Duration,
     },
-    /// It has answered again.
+    /// The target answered again after an ejection.
     Returned,
 }
--- a/crates/balance/src/slots/queue.rs
+++ b/crates/balance/src/slots/queue.rs
@@ -1,20 +1,20 @@
-//! Requests that wait for a slot.
+//! Queue of requests that wait for a slot.
 
 use std::collections::BTreeMap;
 
 use super::SlotRequest;
 use crate::Ticket;
 
-/// Waiting requests by ticket; the order of service is worked out when a slot is free, because it
-/// depends on who can still be answered in good time then.
+/// Waiting requests by ticket. They are ranked when a slot is free, because the ranking depends on
+/// which of them can still be answered within their objective at that time.
 #[derive(Debug, Default)]
 pub(super) struct SlotQueue {
     waiting: BTreeMap<Ticket, SlotRequest>,
 }
 
 impl SlotQueue {
-    pub(super) fn push(&mut self, ticket: Ticket, ask: SlotRequest) {
-        self.waiting.insert(ticket, ask);
+    pub(super) fn push(&mut self, ticket: Ticket, request: SlotRequest) {
+        self.waiting.insert(ticket, request);
     }
 
     pub(super) fn remove(&mut self, ticket: Ticket) -> Option<SlotRequest> {
@@ -30,6 +30,6 @@
     }
 
     pub(super) fn iter(&self) -> impl Iterator<Item = (Ticket, &SlotRequest)> {
-        self.waiting.iter().map(|(ticket, ask)| (*ticket, ask))
+        self.waiting.iter().map(|(ticket, request)| (*ticket, request))
     }
 }
--- a/crates/balance/src/slots/rate_share.rs
+++ b/crates/balance/src/slots/rate_share.rs
@@ -1,15 +1,16 @@
-//! The share of a target's rate limit that is allotted to one process.
+//! Share of a target's rate limit or warm-up rate that is allotted to one process.
 
 use std::cmp::Reverse;
 
 use shallotfork_types::{Mono, RequestRate, TargetId, rendezvous_weight};
 
-/// Paces the requests of one process to a target with a rate limit, or to one that is cold.
+/// Limits the rate at which one process sends requests to a target that is cold or has a rate
+/// limit.
 ///
 /// The limit applies to all processes together. Splitting it evenly among all of them could leave
 /// each with far less than one request a second, so at most as many processes send as the limit has
 /// whole requests a second, and at least one. Every process selects the same ones by rendezvous
-/// hashing over the names of the processes that callers are sent to.
+/// hashing over the names of the processes that are advertised to callers.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RateShare {
     limit: RequestRate,
--- a/crates/balance/src/slots/summary.rs
+++ b/crates/balance/src/slots/summary.rs
@@ -1,4 +1,4 @@
-//! What a pool looks like at one moment, for logs and metrics.
+//! Summary of a pool's current state for logs and metrics.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use super::SlotPool;
 use super::target::Target;
 
-/// Counts of a pool's targets and requests.
+/// Counts and means over a pool's targets and requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlotSummary {
     /// Requests that wait for a slot.
@@ -16,30 +16,31 @@
     pub running: usize,
     /// Targets that take new work.
     pub serving: usize,
-    /// Of these, targets that are left out after failures.
+    /// Serving targets that are ejected after failures.
     pub ejected: usize,
-    /// Targets that owe an answer to a question about their load.
+    /// Serving targets that have not answered a load probe in time.
     pub silent: usize,
-    /// Targets at which an attempt takes far longer than expected.
+    /// Serving targets at which an attempt takes far longer than expected.
     pub overdue: usize,
-    /// Targets whose slots are all taken.
+    /// Serving targets without a free slot.
     pub full: usize,
     /// Free slots at targets that are neither ejected nor overdue.
     pub free_slots: usize,
-    /// How much longer runs take on crowded targets.
+    /// Factor by which runs take longer if their target is saturated meanwhile.
     pub saturation_slowdown: f64,
-    /// Mean of the paces that targets tell; 1 is the usual one.
+    /// Mean of the slowdowns that targets report; 1.0 is the usual speed.
     pub mean_slowdown: f64,
-    /// Mean time of a request at a target of usual speed and pace.
+    /// Mean time of a request at a target of average speed without slowdown.
     pub usual_time: Duration,
 }
 
 impl SlotPool {
-    /// What the pool looks like now.
+    /// Returns a summary of the pool's current state.
     pub fn summary(&self, now: Mono) -> SlotSummary {
         let serving: Vec<&Target> =
             self.targets.values().filter(|target| target.published.serving).collect();
-        let count = |is: &dyn Fn(&Target) -> bool| serving.iter().filter(|t| is(t)).count();
+        let count =
+            |predicate: &dyn Fn(&Target) -> bool| serving.iter().filter(|t| predicate(t)).count();
         SlotSummary {
             queued: self.queue.len(),
             running: self.attempts.len(),
@@ -47,11 +48,11 @@
             ejected: count(&|target| target.is_ejected(now)),
             silent: count(&|target| target.is_silent),
             overdue: count(&|target| target.is_overdue(now, &self.config)),
-            full: count(&|target| target.free_slots(now, &self.learnt) == 0),
+            full: count(&|target| target.free_slots(now, &self.estimates) == 0),
             free_slots: self.free_slots(now),
-            saturation_slowdown: self.learnt.slowdown(),
-            mean_slowdown: self.learnt.mean_pace(),
-            usual_time: Duration::from_micros(self.learnt.usual_us() as u64),
+            saturation_slowdown: self.estimates.saturation_slowdown(),
+            mean_slowdown: self.estimates.mean_slowdown(),
+            usual_time: Duration::from_micros(self.estimates.mean_work_us() as u64),
         }
     }
 }
--- a/crates/balance/src/slots/wake.rs
+++ b/crates/balance/src/slots/wake.rs
@@ -1,90 +1,102 @@
-//! Gives slots to those who wait.
+//! Assignment of slots to waiting requests.
 
 use std::collections::BTreeSet;
 
 use shallotfork_types::{Mono, TargetId};
 
-use super::pool::Choice;
+use super::pool::TargetFilter;
 use super::{SlotPool, SlotRequest, WorkClass};
 use crate::{Admission, Resolution, ShedReason, Ticket, Woken};
 
 impl SlotPool {
-    /// Gives the slots of one target, of which something new is known, to those who wait.
+    /// Assigns the open slots of a target whose state has changed to waiting requests.
     ///
-    /// Only this target's slots can have become usable. With hundreds of targets and requests in the
-    /// queue, comparing all with all at each answer takes longer than serving a request.
-    pub(super) fn wake_for(&mut self, id: &TargetId, now: Mono) -> Vec<Woken> {
+    /// Only this target's slots can have become usable. With hundreds of targets and queued
+    /// requests, comparing all of them at each answer takes longer than serving a request.
+    pub(super) fn wake_for_target(&mut self, id: &TargetId, now: Mono) -> Vec<Woken> {
         let mut woken = Vec::new();
-        if self.queue.is_empty() || !self.is_open(id, now) {
+        if self.queue.is_empty() || !self.has_open_slot(id, now) {
             return woken;
         }
-        for ticket in self.in_order(now) {
-            let Some(ask) = self.queue.remove(ticket) else { continue };
-            let Some(assignment) = self.assign_among(&ask, Choice::Quick, Some(id), now) else {
-                self.queue.push(ticket, ask);
+        for ticket in self.ranked_tickets(now) {
+            let Some(request) = self.queue.remove(ticket) else { continue };
+            let Some(assignment) =
+                self.assign_among(&request, TargetFilter::NotSlow, Some(id), now)
+            else {
+                self.queue.push(ticket, request);
                 continue;
             };
             woken.push(Woken { ticket, resolution: Resolution::Send(assignment) });
-            if !self.is_open(id, now) {
+            if !self.has_open_slot(id, now) {
                 break;
             }
         }
         woken
     }
 
-    /// Whether this process may send a request to the target now.
-    fn is_open(&self, id: &TargetId, now: Mono) -> bool {
-        let has_share = self.has_share();
+    /// Returns whether this process may send a request to the target now.
+    fn has_open_slot(&self, id: &TargetId, now: Mono) -> bool {
+        let has_reached_share = self.has_reached_share();
         self.targets.get(id).is_some_and(|target| {
             target.published.serving
-                && target.open_slots(now, &self.config, &self.learnt, has_share) > 0
+                && target.open_slots(now, &self.config, &self.estimates, has_reached_share) > 0
         })
     }
 
-    /// Those who wait, in the order in which they are served.
-    fn in_order(&self, now: Mono) -> Vec<Ticket> {
-        let mut order: Vec<(Ticket, _)> =
-            self.queue.iter().map(|(ticket, ask)| (ticket, self.order(ask, now))).collect();
-        order.sort_by_key(|(_, key)| *key);
-        order.into_iter().map(|(ticket, _)| ticket).collect()
+    /// Returns the tickets of waiting requests in the order in which they are served.
+    fn ranked_tickets(&self, now: Mono) -> Vec<Ticket> {
+        let mut ranked: Vec<(Ticket, _)> = self
+            .queue
+            .iter()
+            .map(|(ticket, request)| (ticket, self.rank_key(request, now)))
+            .collect();
+        ranked.sort_by_key(|(_, key)| *key);
+        ranked.into_iter().map(|(ticket, _)| ticket).collect()
     }
 
     pub(super) fn wake(&mut self, now: Mono) -> Vec<Woken> {
         let mut woken = Vec::new();
-        // A long queue would be compared with every target at each answer. Where one request finds no
-        // slot, those behind it that judge a slow slot alike are not tried this time: of the same
-        // class, and like it still in time or not.
-        let mut without_slot: BTreeSet<(WorkClass, bool)> = BTreeSet::new();
-        for ticket in self.in_order(now) {
-            let Some(ask) = self.queue.remove(ticket) else { continue };
-            let alike = (ask.class.clone(), self.is_in_time(&ask, now));
-            let hopeless = ask.exclude.is_empty() && without_slot.contains(&alike);
-            if let Some(resolution) = self.resolve(&ask, hopeless, now) {
+        // Comparing a long queue with every target at each answer would take too long. Once a
+        // request finds no slot, later ones for which a slow slot is judged alike are skipped this
+        // time: those of the same class that also can, or can't, meet their objective.
+        let mut unservable: BTreeSet<(WorkClass, bool)> = BTreeSet::new();
+        for ticket in self.ranked_tickets(now) {
+            let Some(request) = self.queue.remove(ticket) else { continue };
+            let key = (request.class.clone(), self.can_meet_objective(&request, now));
+            let skip_assignment = request.exclude.is_empty() && unservable.contains(&key);
+            if let Some(resolution) = self.resolve(&request, skip_assignment, now) {
                 woken.push(Woken { ticket, resolution });
                 continue;
             }
-            if ask.exclude.is_empty() {
-                without_slot.insert(alike);
+            if request.exclude.is_empty() {
+                unservable.insert(key);
             }
-            self.queue.push(ticket, ask);
+            self.queue.push(ticket, request);
         }
         woken
     }
 
-    fn resolve(&mut self, ask: &SlotRequest, hopeless: bool, now: Mono) -> Option<Resolution> {
-        if ask.deadline <= now {
+    fn resolve(
+        &mut self,
+        request: &SlotRequest,
+        skip_assignment: bool,
+        now: Mono,
+    ) -> Option<Resolution> {
+        if request.deadline <= now {
             return Some(Resolution::Shed(self.shed(ShedReason::DeadlinePassed, now)));
         }
-        if !self.has_target_for(ask, now) {
+        if !self.has_target_for(request, now) {
             return Some(Resolution::Shed(self.shed(ShedReason::NoTarget, now)));
         }
-        if !hopeless && let Some(assignment) = self.assign(ask, Choice::Quick, now) {
+        if !skip_assignment
+            && let Some(assignment) = self.assign(request, TargetFilter::NotSlow, now)
+        {
             return Some(Resolution::Send(assignment));
         }
-        if self.wait_end(ask, now) > now {
+        if self.wait_until(request, now) > now {
             return None;
         }
-        Some(match self.assign_any_or_shed(ask, now) {
+        Some(match self.assign_any_or_shed(request, now) {
             Admission::Send(assignment) => Resolution::Send(assignment),
             Admission::Shed(shed) => Resolution::Shed(shed),
             Admission::Queued(_) => return None,
