--- a/crates/balance/tests/draining.rs
+++ b/crates/balance/tests/draining.rs
@@ -1,4 +1,4 @@
-//! Targets that say themselves that they are leaving.
+//! Targets that report that they are draining.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
 const SEED: u64 = 0x1eaf;
 const STEP: Duration = Duration::from_millis(5);
 
-/// A pool of idle targets, and who of them says that it is leaving.
-struct Drive {
+/// A pool of idle targets, some of which report that they are draining.
+struct Harness {
     pool: Pool,
     now: Mono,
-    leaving: Vec<TargetId>,
+    draining: Vec<TargetId>,
 }
 
-impl Drive {
+impl Harness {
     fn new(targets: usize) -> Self {
         let now = Mono::from_millis(1);
         let mut pool = Pool::new(PoolConfig::default(), SEED);
@@ -26,26 +26,27 @@
         let target = |number| PoolTarget::new(id(number), domain.clone(), 2);
         let targets: Vec<PoolTarget> = (0..targets).map(target).collect();
         pool.set_targets(&targets, now);
-        Self { pool, now, leaving: Vec::new() }
+        Self { pool, now, draining: Vec::new() }
     }
 
-    fn with_leaving(mut self, number: usize) -> Self {
-        self.leaving.push(id(number));
+    fn with_draining(mut self, number: usize) -> Self {
+        self.draining.push(id(number));
         self
     }
 
-    /// Sends one request after the other; gives the targets that got them.
-    fn play(&mut self, requests: usize) -> Vec<TargetId> {
-        (0..requests).map(|_| self.request()).collect()
+    /// Sends requests one after the other and returns the targets that received them.
+    fn send_requests(&mut self, requests: usize) -> Vec<TargetId> {
+        (0..requests).map(|_| self.send_request()).collect()
     }
 
-    fn request(&mut self) -> TargetId {
-        let ask = Ask::new(self.now.plus(Duration::from_secs(1)));
-        let Admission::Send(Assignment { attempt, target }) = self.pool.admit(ask, self.now) else {
+    fn send_request(&mut self) -> TargetId {
+        let request = Ask::new(self.now.plus(Duration::from_secs(1)));
+        let Admission::Send(Assignment { attempt, target }) = self.pool.admit(request, self.now)
+        else {
             panic!("an idle pool must send at once");
         };
         self.now = self.now.plus(STEP);
-        let draining = self.leaving.contains(&target);
+        let draining = self.draining.contains(&target);
         let report = LoadReport { in_flight: Some(1), draining, ..LoadReport::default() };
         let outcome = AttemptOutcome::Answered { latency: STEP };
         self.pool.finish(attempt, outcome, Some(report), self.now);
@@ -61,33 +62,33 @@
     sent.iter().filter(|target| **target == id(number)).count()
 }
 
-/// A target gets its stop signal, and the published list will say so only in half a minute. It
-/// says so itself with its next answer. Work sent after that would be cut off when it ends.
+/// A target that receives its stop signal reports it with its next answer, half a minute before the
+/// published list does. Guards against requests sent after that report, which would be cut off when
+/// the target stops.
 #[test]
-fn a_target_that_says_it_leaves_gets_nothing_more() {
-    let mut drive = Drive::new(2).with_leaving(0);
-    let sent = drive.play(200);
+fn draining_target_gets_no_more_requests() {
+    let mut harness = Harness::new(2).with_draining(0);
+    let sent = harness.send_requests(200);
     assert_eq!(1, count(&sent, 0));
     assert_eq!(199, count(&sent, 1));
 }
 
-/// The target changed its mind, or another server took its address. Nobody would ever learn that
-/// if its old word counted for ever.
+/// Guards against a drain report that never expires, although the target may have cancelled its
+/// stop or another server may have taken over its address.
 #[test]
-fn a_target_that_said_it_leaves_is_tried_again_later() {
-    let mut drive = Drive::new(2).with_leaving(0);
-    drive.play(50);
-    drive.leaving.clear();
-    drive.now = drive.now.plus(TargetConfig::default().drain_trust);
-    let sent = drive.play(500);
+fn drain_report_expires() {
+    let mut harness = Harness::new(2).with_draining(0);
+    harness.send_requests(50);
+    harness.draining.clear();
+    harness.now = harness.now.plus(TargetConfig::default().drain_trust);
+    let sent = harness.send_requests(500);
     assert!(count(&sent, 0) > 50, "requests to the returned target: {}", count(&sent, 0));
 }
 
-/// A broken release makes every target say that it is leaving. Refusing all requests would turn
-/// a wrong word into an outage.
+/// Guards against an outage if a broken release makes every target report that it is draining.
 #[test]
-fn when_all_say_that_they_leave_all_serve() {
-    let mut drive = Drive::new(2).with_leaving(0).with_leaving(1);
-    let sent = drive.play(200);
+fn all_targets_serve_if_all_report_draining() {
+    let mut harness = Harness::new(2).with_draining(0).with_draining(1);
+    let sent = harness.send_requests(200);
     assert!(count(&sent, 0) > 0 && count(&sent, 1) > 0);
 }
--- a/crates/balance/tests/rate_limits.rs
+++ b/crates/balance/tests/rate_limits.rs
@@ -16,7 +16,7 @@
 use shallotfork_types::{Mono, RequestRate};
 
 use fleet::{Fleet, WHOLE};
-use support::{answered, ask, at, id, named_pool, sent};
+use support::{answered, at, expect_sent, id, named_pool, request_at};
 
 const TARGET: &str = "mill";
 const SEEDS: std::ops::Range<u64> = 1..4;
@@ -32,7 +32,7 @@
     text.parse().unwrap()
 }
 
-/// The number of requests tolerated in a window: 1.5 times the limit, plus 5.
+/// Returns the number of requests tolerated in a window: 1.5 times the limit, plus 5.
 fn allowed_in_window(limit: RequestRate) -> usize {
     (1.5 * limit.per_s() * WINDOW_MS as f64 / 1000.0) as usize + 5
 }
@@ -47,7 +47,7 @@
 
 /// Guards against processes that each comply with a rate limit but exceed it in total.
 #[test]
-fn all_processes_together_keep_to_a_rate_limit_while_the_fleet_changes() {
+fn fleet_keeps_rate_limit_while_sharers_change() {
     for seed in SEEDS {
         for (count, sharers) in [(1, 1), (15, 3), (40, 15)] {
             for limit in ["0.2", "1", "1.9", "2.5", "7", "40"].map(rate) {
@@ -63,7 +63,7 @@
 
 /// Guards against complying with a limit by sending far less than it allows.
 #[test]
-fn a_target_with_a_rate_limit_is_used_up_to_it() {
+fn rate_limit_is_used_up() {
     for (count, sharers) in [(1, 1), (15, 3), (40, 15)] {
         for limit in ["0.5", "1", "2.5", "7"].map(rate) {
             let mut fleet = limited_fleet(1, count, sharers, limit);
@@ -75,38 +75,40 @@
     }
 }
 
-/// Guards against queueing requests at a process that has no share of the limit any more.
+/// Guards against queueing requests at a process that no longer has a share of the limit.
 #[test]
-fn a_request_is_refused_at_once_if_the_process_has_no_share_of_any_limit() {
+fn process_without_share_sheds_at_once() {
     let mut pool = named_pool("vm-1", &[TARGET]);
     pool.set_sharers(vec!["vm-0".to_owned()], WHOLE, at(0));
     pool.set_rate_limit(&id(TARGET), Some(rate("1")), at(0));
-    let Admission::Shed(shed) = pool.admit(ask(0), at(0)) else { panic!("expected a refusal") };
+    let Admission::Shed(shed) = pool.admit(request_at(0), at(0)) else {
+        panic!("expected a rejection")
+    };
     assert_eq!(shed.reason, ShedReason::NoTarget);
     assert!(shed.retry_after > Duration::ZERO);
     pool.set_sharers(vec!["vm-1".to_owned()], WHOLE, at(0));
-    sent(pool.admit(ask(2_000), at(2_000)));
+    expect_sent(pool.admit(request_at(2_000), at(2_000)));
 }
 
 /// Guards against enforcing a removed limit, and against sending under a limit of zero.
 #[test]
-fn a_removed_limit_is_not_enforced_and_a_limit_of_zero_admits_nothing() {
+fn removed_limit_is_not_enforced_and_zero_limit_admits_nothing() {
     let mut pool = named_pool("vm-0", &[TARGET]);
     let later: Mono = at(100_000);
     pool.set_rate_limit(&id(TARGET), Some(RequestRate::ZERO), at(0));
-    assert!(matches!(pool.admit(ask(100_000), later), Admission::Shed(_)));
+    assert!(matches!(pool.admit(request_at(100_000), later), Admission::Shed(_)));
     pool.set_rate_limit(&id(TARGET), None, later);
-    sent(pool.admit(ask(100_000), later));
+    expect_sent(pool.admit(request_at(100_000), later));
 }
 
-/// Guards against sending to a target beyond its limit, and checking its pace, while another target
-/// has free slots.
+/// Guards against exceeding a target's rate limit, and against probing that target, while another
+/// one has free slots.
 #[test]
-fn other_targets_take_the_load_beyond_a_rate_limit() {
+fn other_targets_take_load_beyond_rate_limit() {
     let mut pool = named_pool("vm-0", &[TARGET, "press"]);
     pool.set_rate_limit(&id(TARGET), Some(rate("1")), at(0));
     for now_ms in [0, 100, 200, 300] {
-        let assignment = sent(pool.admit(ask(now_ms), at(now_ms)));
+        let assignment = expect_sent(pool.admit(request_at(now_ms), at(now_ms)));
         assert_eq!(assignment.target, id("press"));
         pool.finish(assignment.attempt, answered(), None, at(now_ms + 50));
     }
--- a/crates/balance/tests/slots.rs
+++ b/crates/balance/tests/slots.rs
@@ -1,4 +1,4 @@
-//! Who gets a slot, who waits, and who is refused.
+//! Assignment of slots, queueing and shedding.
 
 #![expect(clippy::unwrap_used, reason = "a test builder may end the test")]
 
@@ -16,7 +16,8 @@
 use shallotfork_types::Permille;
 
 use support::{
-    SLOW, USUAL, answered, ask, at, figures, id, learn_work, named_pool, pool, queued, sent, target,
+    SLOW_PERMILLE, USUAL_PERMILLE, answered, at, expect_queued, expect_sent, id, learn_work_time,
+    load, named_pool, pool, request_at, target,
 };
 
 fn target_of(woken: &Woken) -> Option<&str> {
@@ -27,144 +28,149 @@
 }
 
 #[test]
-fn an_idle_target_goes_before_the_last_slot_of_another() {
+fn idle_targets_are_preferred() {
     let mut pool = pool(&["a", "b", "c"]);
     let mut chosen: Vec<String> =
-        (0..3).map(|_| sent(pool.admit(ask(0), at(0))).target.to_string()).collect();
+        (0..3).map(|_| expect_sent(pool.admit(request_at(0), at(0))).target.to_string()).collect();
     chosen.sort();
     assert_eq!(chosen, ["a", "b", "c"]);
 }
 
-/// An order is answered; the answer still counts it as running. Taken for somebody else's request,
-/// it makes the target look half full, and the next order shares a target while others are idle:
-/// both take longer, and under load a third of all orders are refused for want of slots.
+/// An answer's load report still counts the answered request as running. Guards against counting it
+/// as a request of another process: the target would look half full and the next request would
+/// share another target while this one is idle. Both would take longer, and under load a third of
+/// all requests was rejected for lack of slots.
 #[test]
-fn the_answered_request_is_not_taken_for_another_process_s() {
+fn answered_request_is_not_counted_as_foreign() {
     let mut pool = pool(&["a", "b"]);
-    let first = sent(pool.admit(ask(0), at(0)));
+    let first = expect_sent(pool.admit(request_at(0), at(0)));
     pool.mark_sent(first.attempt, at(0));
-    pool.finish(first.attempt, answered(), Some(figures(1, USUAL)), at(160));
-    let mut again: Vec<String> =
-        (0..2).map(|_| sent(pool.admit(ask(170), at(170))).target.to_string()).collect();
+    pool.finish(first.attempt, answered(), Some(load(1, USUAL_PERMILLE)), at(160));
+    let mut again: Vec<String> = (0..2)
+        .map(|_| expect_sent(pool.admit(request_at(170), at(170))).target.to_string())
+        .collect();
     again.sort();
     assert_eq!(again, ["a", "b"]);
 }
 
-/// A recipe is looked up while the neighbours of the only free server slow it down five times. A
-/// run keeps the pace at which it began: sent now, the answer comes after 0.8 s; sent when the
-/// phase ends, a tenth of a second later, it is in good time.
+/// Guards against sending a request to the only free target while neighbours slow it down five
+/// times. A run keeps the slowdown with which it starts: sent now, the answer takes 0.8 s; sent a
+/// tenth of a second later, after the slow phase, it meets its objective.
 #[test]
-fn a_slot_in_a_slow_phase_is_left_free_until_the_phase_ends() {
+fn slot_stays_free_during_slow_phase() {
     let mut pool = pool(&["a"]);
-    learn_work(&mut pool, "a");
-    pool.record_load(&id("a"), figures(0, SLOW), at(1000));
-    let ticket = queued(pool.admit(ask(1001), at(1001)));
+    learn_work_time(&mut pool, "a");
+    pool.record_load(&id("a"), load(0, SLOW_PERMILLE), at(1000));
+    let ticket = expect_queued(pool.admit(request_at(1001), at(1001)));
     assert_eq!(pool.due_probes(at(1030)), [id("a")]);
-    let woken = pool.record_load(&id("a"), figures(0, USUAL), at(1031));
+    let woken = pool.record_load(&id("a"), load(0, USUAL_PERMILLE), at(1031));
     assert_eq!(woken.iter().map(|w| w.ticket).collect::<Vec<_>>(), [ticket]);
     assert_eq!(target_of(&woken[0]), Some("a"));
 }
 
-/// The slow phase lasts; the caller's patience for a slot ends first. A slow answer is better than
-/// none while the slot would be idle otherwise.
+/// Guards against leaving a slot idle if the slow phase outlasts the waiting time of a request: a
+/// slow answer is better than none.
 #[test]
-fn a_slow_slot_is_used_when_waiting_for_a_better_one_has_taken_too_long() {
+fn slow_slot_is_used_after_wait_ends() {
     let mut pool = pool(&["a"]);
-    learn_work(&mut pool, "a");
-    pool.record_load(&id("a"), figures(0, SLOW), at(1000));
-    queued(pool.admit(ask(1001), at(1001)));
-    pool.record_load(&id("a"), figures(0, SLOW), at(1050));
+    learn_work_time(&mut pool, "a");
+    pool.record_load(&id("a"), load(0, SLOW_PERMILLE), at(1000));
+    expect_queued(pool.admit(request_at(1001), at(1001)));
+    pool.record_load(&id("a"), load(0, SLOW_PERMILLE), at(1050));
     let due = pool.next_expiry(at(1050)).unwrap();
     let woken = pool.expire(due);
     assert_eq!(target_of(&woken[0]), Some("a"));
 }
 
-/// Twice as many callers come as can be served. Who would have to wait for longer than is worth it
-/// is told at once when to come back, not kept until the time is up.
+/// Guards against keeping requests until their deadline under twice the load that can be served. A
+/// request whose expected wait is too long is rejected at once with a time to retry after.
 #[test]
-fn a_hopeless_wait_is_refused_at_once_with_the_time_to_come_back() {
+fn hopeless_wait_is_shed_at_once_with_retry_after() {
     let mut pool = pool(&["a"]);
-    learn_work(&mut pool, "a");
+    learn_work_time(&mut pool, "a");
     let now = 1000;
-    let admissions: Vec<Admission> = (0..6).map(|_| pool.admit(ask(now), at(now))).collect();
-    let refused = admissions.iter().find_map(|admission| match admission {
+    let admissions: Vec<Admission> = (0..6).map(|_| pool.admit(request_at(now), at(now))).collect();
+    let first_shed = admissions.iter().find_map(|admission| match admission {
         Admission::Shed(shed) => Some(*shed),
         _ => None,
     });
-    let shed = refused.unwrap();
+    let shed = first_shed.unwrap();
     assert_eq!(shed.reason, ShedReason::DeadlineTooNear);
     assert!(shed.retry_after >= Duration::from_millis(150));
     assert_eq!(pool.running(), 2);
 }
 
-/// A caller was refused and has come back, as it was told. Refused again, its time would be up; a
-/// new caller has time left to come back.
+/// Guards against rejecting a resubmitted request a second time, which leaves no time for another
+/// attempt, in favour of a new request that can still come back.
 #[test]
-fn who_comes_back_after_a_refusal_goes_before_who_comes_first() {
+fn resubmitted_request_ranks_before_new_one() {
     let mut pool = pool(&["a"]);
-    learn_work(&mut pool, "a");
+    learn_work_time(&mut pool, "a");
     let now = 1000;
-    let running = [0, 1].map(|_| sent(pool.admit(ask(now), at(now))));
+    let running = [0, 1].map(|_| expect_sent(pool.admit(request_at(now), at(now))));
     for assignment in &running {
         pool.mark_sent(assignment.attempt, at(now));
     }
-    let patient = |returning: bool| {
-        let ask = ask(now).with_resubmitted(returning);
-        SlotRequest { objective: at(now + 5000), ..ask }
+    let patient_request = |returning: bool| {
+        let request = request_at(now).with_resubmitted(returning);
+        SlotRequest { objective: at(now + 5000), ..request }
     };
-    queued(pool.admit(patient(false), at(now)));
-    let returning = queued(pool.admit(patient(true), at(now + 1)));
-    let woken = pool.finish(running[0].attempt, answered(), Some(figures(2, USUAL)), at(now + 2));
+    expect_queued(pool.admit(patient_request(false), at(now)));
+    let returning = expect_queued(pool.admit(patient_request(true), at(now + 1)));
+    let woken =
+        pool.finish(running[0].attempt, answered(), Some(load(2, USUAL_PERMILLE)), at(now + 2));
     assert_eq!(woken.iter().map(|woken| woken.ticket).collect::<Vec<_>>(), [returning]);
 }
 
 #[test]
-fn a_target_that_fails_again_and_again_is_left_out_and_comes_back() {
+fn failing_target_is_ejected_and_returns() {
     let mut pool = pool(&["a", "b"]);
     for round in 0..3 {
-        let assignment = loop_until(&mut pool, "a", round * 10);
+        let assignment = assign_to(&mut pool, "a", round * 10);
         pool.finish(assignment.attempt, SlotOutcome::Failed, None, at(round * 10));
     }
-    let while_out: Vec<String> =
-        (0..2).map(|_| sent(pool.admit(ask(40), at(40))).target.to_string()).collect();
-    assert_eq!(while_out, ["b", "b"]);
-    loop_until(&mut pool, "a", 1000);
+    let chosen: Vec<String> = (0..2)
+        .map(|_| expect_sent(pool.admit(request_at(40), at(40))).target.to_string())
+        .collect();
+    assert_eq!(chosen, ["b", "b"]);
+    assign_to(&mut pool, "a", 1000);
 }
 
-/// Nobody can be reached: more likely this process is cut off than all servers have failed.
+/// Guards against serving nobody if no target can be reached: more likely this process is cut off
+/// than all targets have failed.
 #[test]
-fn when_all_targets_look_bad_the_evidence_is_ignored() {
+fn health_is_ignored_if_all_targets_look_unhealthy() {
     let mut pool = pool(&["a", "b"]);
     for _ in 0..2 {
-        let assignment = sent(pool.admit(ask(0), at(0)));
+        let assignment = expect_sent(pool.admit(request_at(0), at(0)));
         pool.finish(assignment.attempt, SlotOutcome::Unreachable, None, at(0));
     }
-    sent(pool.admit(ask(1), at(1)));
+    expect_sent(pool.admit(request_at(1), at(1)));
 }
 
 #[test]
-fn a_draining_target_gets_nothing() {
+fn draining_target_gets_no_requests() {
     let mut pool = pool(&["a", "b"]);
     let draining = SlotTarget { serving: false, ..target("a") };
     pool.set_targets(vec![draining, target("b")], at(1));
-    assert_eq!(sent(pool.admit(ask(1), at(1))).target, id("b"));
+    assert_eq!(expect_sent(pool.admit(request_at(1), at(1))).target, id("b"));
 }
 
-/// Whatever happens in whatever order, no target holds more than its slots, and each ticket ends
-/// once.
+/// Guards against assigning more slots than a target has and against losing or resolving a ticket
+/// twice, for random sequences of events.
 #[test]
 fn slots_are_never_exceeded_and_tickets_end_once() {
     fn property(steps: Vec<(u8, u8)>) -> bool {
-        let mut run = Run::new();
+        let mut run = RandomRun::new();
         steps.iter().all(|(action, gap_ms)| run.step(*action, *gap_ms))
     }
     QuickCheck::new().tests(400).quickcheck(property as fn(Vec<(u8, u8)>) -> bool);
 }
 
-/// In every window, repeated sends stay within the share of requests and the extra, wherever the
-/// window begins.
+/// Guards against exceeding the limit on repeated sends, a share of the requests plus a constant,
+/// in any window wherever it starts.
 #[test]
-fn repeats_keep_the_allowance_in_every_window() {
+fn repeated_sends_keep_limit_in_every_window() {
     fn property(steps: Vec<(bool, u8)>) -> bool {
         let window = Duration::from_secs(1);
         let allowance = RetryAllowance { share: Permille::new(200), extra: 3 };
@@ -184,7 +190,8 @@
         };
         repeats.iter().all(|from| {
             let to = from + 1000;
-            // Requests count that were made up to a window before: the users count the fullest.
+            // Requests of up to one window earlier count as well: the limit is checked against the
+            // window with the most requests.
             let counted = within(&requests, from.saturating_sub(1000), to);
             within(&repeats, *from, to) <= counted / 5 + 3
         })
@@ -192,11 +199,11 @@
     QuickCheck::new().tests(400).quickcheck(property as fn(Vec<(bool, u8)>) -> bool);
 }
 
-/// An assignment to the named target; others are given back.
-fn loop_until(pool: &mut SlotPool, name: &str, now_ms: u64) -> Assignment {
+/// Returns an assignment to the named target and gives back those to others.
+fn assign_to(pool: &mut SlotPool, name: &str, now_ms: u64) -> Assignment {
     let mut others = Vec::new();
     loop {
-        let assignment = sent(pool.admit(ask(now_ms), at(now_ms)));
+        let assignment = expect_sent(pool.admit(request_at(now_ms), at(now_ms)));
         if assignment.target == id(name) {
             for other in others {
                 pool.finish(other, SlotOutcome::Cancelled, None, at(now_ms));
@@ -208,14 +215,14 @@
 }
 
 /// A pool under random events.
-struct Run {
+struct RandomRun {
     pool: SlotPool,
     now_ms: u64,
     in_flight: Vec<Assignment>,
     tickets: Vec<Ticket>,
 }
 
-impl Run {
+impl RandomRun {
     fn new() -> Self {
         let pool = pool(&["a", "b", "c"]);
         Self { pool, now_ms: 0, in_flight: Vec::new(), tickets: Vec::new() }
@@ -229,20 +236,20 @@
             3 => {
                 let Some(ended) = self.in_flight.pop() else { return true };
                 let outcome = if action > 200 { SlotOutcome::Failed } else { answered() };
-                self.pool.finish(ended.attempt, outcome, Some(figures(1, USUAL)), now)
+                self.pool.finish(ended.attempt, outcome, Some(load(1, USUAL_PERMILLE)), now)
             }
             4 => self.pool.record_load(
                 &id("a"),
-                figures(0, if action > 100 { SLOW } else { USUAL }),
+                load(0, if action > 100 { SLOW_PERMILLE } else { USUAL_PERMILLE }),
                 now,
             ),
             _ => self.pool.expire(now),
         };
-        self.take(woken)
+        self.resolve(woken)
     }
 
     fn admit(&mut self) -> bool {
-        match self.pool.admit(ask(self.now_ms), at(self.now_ms)) {
+        match self.pool.admit(request_at(self.now_ms), at(self.now_ms)) {
             Admission::Send(assignment) => self.in_flight.push(assignment),
             Admission::Queued(ticket) => self.tickets.push(ticket),
             Admission::Shed(_) => {}
@@ -250,12 +257,12 @@
         self.within_slots()
     }
 
-    fn take(&mut self, woken: Vec<Woken>) -> bool {
+    fn resolve(&mut self, woken: Vec<Woken>) -> bool {
         for Woken { ticket, resolution } in woken {
-            let Some(place) = self.tickets.iter().position(|known| *known == ticket) else {
+            let Some(index) = self.tickets.iter().position(|known| *known == ticket) else {
                 return false;
             };
-            self.tickets.swap_remove(place);
+            self.tickets.swap_remove(index);
             if let Resolution::Send(assignment) = resolution {
                 self.in_flight.push(assignment);
             }
@@ -272,25 +279,25 @@
     }
 }
 
-/// Insurers need an answer within 120 ms; in a slow phase the work alone takes 180, and the phase
-/// is over sooner than that.
+/// Guards against sending a short request into a slow phase in which the work alone takes 180 ms,
+/// if its objective is 120 ms and the phase ends sooner than that.
 #[test]
-fn a_short_request_waits_if_only_that_keeps_its_objective() {
+fn short_request_waits_out_slow_phase_to_meet_objective() {
     let mut pool = pool(&["a"]);
-    learn_work(&mut pool, "a");
-    pool.record_load(&id("a"), figures(0, 1800), at(1000));
-    let objective = |ms: u64| SlotRequest { objective: at(1000 + ms), ..ask(1000) };
-    queued(pool.admit(objective(250), at(1000)));
-    assert_eq!(sent(pool.admit(objective(800), at(1000))).target, id("a"));
+    learn_work_time(&mut pool, "a");
+    pool.record_load(&id("a"), load(0, 1800), at(1000));
+    let objective = |ms: u64| SlotRequest { objective: at(1000 + ms), ..request_at(1000) };
+    expect_queued(pool.admit(objective(250), at(1000)));
+    assert_eq!(expect_sent(pool.admit(objective(800), at(1000))).target, id("a"));
 }
 
-/// All entries have just started, and each gets one request. Were all to begin with the same
-/// server, it would be full, and one that hangs when it is full would keep them waiting.
+/// Guards against all entries choosing the same target for their first request after a common
+/// start. It would be full, and if it hangs when full, it would keep all of them waiting.
 #[test]
-fn processes_don_t_all_begin_with_the_same_target() {
+fn processes_start_with_different_targets() {
     let first = |entry: &str| {
         let mut pool = named_pool(entry, &["a", "b", "c", "d"]);
-        sent(pool.admit(ask(0), at(0))).target.to_string()
+        expect_sent(pool.admit(request_at(0), at(0))).target.to_string()
     };
     let mut chosen: Vec<String> = (0..14).map(|n| first(&format!("entry-{n}"))).collect();
     chosen.sort();
@@ -298,30 +305,32 @@
     assert_eq!(chosen, ["a", "b", "c", "d"]);
 }
 
-/// Another entry has filled a server meanwhile; what it is asked shows it. The request must not wait
-/// there, where it may never be answered.
+/// Guards against leaving a request at a target that another entry has filled since the slot was
+/// assigned, as a probe shows. It would wait there and might never be answered.
 #[test]
-fn a_target_that_others_have_filled_is_unfit() {
+fn slot_is_unfit_if_other_processes_fill_the_target() {
     let mut pool = pool(&["a"]);
-    let assignment = sent(pool.admit(ask(0), at(0)));
-    pool.record_load(&id("a"), figures(1, USUAL), at(1));
-    assert!(!pool.is_unfit(&assignment, &ask(0), at(1)));
-    pool.record_load(&id("a"), figures(2, USUAL), at(2));
-    assert!(pool.is_unfit(&assignment, &ask(0), at(2)));
+    let assignment = expect_sent(pool.admit(request_at(0), at(0)));
+    pool.record_load(&id("a"), load(1, USUAL_PERMILLE), at(1));
+    assert!(!pool.is_unfit(&assignment, &request_at(0), at(1)));
+    pool.record_load(&id("a"), load(2, USUAL_PERMILLE), at(2));
+    assert!(pool.is_unfit(&assignment, &request_at(0), at(2)));
 }
 
-/// Both slots are taken for 160 ms, one gets free each 80. A stallholder's look-up that waits for it
-/// is answered within its 400 ms; refused, it comes back too late for that.
+/// Guards against rejecting a request that meets its 400 ms objective by waiting: both slots are in
+/// use for 160 ms, so that one becomes free every 80 ms. Rejected, the request would be resubmitted
+/// too late.
 #[test]
-fn who_can_still_be_answered_in_good_time_waits_for_it() {
+fn request_waits_while_objective_can_be_met() {
     let mut pool = pool(&["a"]);
-    learn_work(&mut pool, "a");
-    let running = [0, 1].map(|_| sent(pool.admit(ask(1000), at(1000))));
+    learn_work_time(&mut pool, "a");
+    let running = [0, 1].map(|_| expect_sent(pool.admit(request_at(1000), at(1000))));
     for assignment in &running {
         pool.mark_sent(assignment.attempt, at(1000));
     }
-    let ticket = queued(pool.admit(ask(1000), at(1000)));
+    let ticket = expect_queued(pool.admit(request_at(1000), at(1000)));
     assert_eq!(pool.expire(at(1150)), []);
-    let woken = pool.finish(running[0].attempt, answered(), Some(figures(2, USUAL)), at(1160));
+    let woken =
+        pool.finish(running[0].attempt, answered(), Some(load(2, USUAL_PERMILLE)), at(1160));
     assert_eq!(woken.iter().map(|woken| woken.ticket).collect::<Vec<_>>(), [ticket]);
 }
--- a/crates/balance/tests/slots_domains_and_probes.rs
+++ b/crates/balance/tests/slots_domains_and_probes.rs
@@ -1,4 +1,4 @@
-//! When a request goes to another failure domain, and whom a process asks while requests wait.
+//! Requests that cross failure domains, and probes sent while requests wait.
 
 #![expect(clippy::unwrap_used, reason = "a test builder may end the test")]
 
@@ -11,88 +11,93 @@
 use shallotfork_types::{FailureDomain, Permille};
 
 use support::{
-    SLOW, USUAL, answered, ask, at, figures, id, learn_work, pool, queued, sent, target,
+    SLOW_PERMILLE, USUAL_PERMILLE, answered, at, expect_queued, expect_sent, id, learn_work_time,
+    load, pool, request_at, target,
 };
 
 /// Targets of a large service.
 const TARGETS: usize = 475;
-/// Time between two turns of asking.
-const LOOK_MS: u64 = 12;
+/// Time between two rounds of probes.
+const PROBE_INTERVAL_MS: u64 = 12;
 
-/// Of equal servers one stood nearby. The measured times of a few requests made the far one look
-/// quicker by a tenth, and two of three requests crossed to another failure domain, which costs the
-/// users more than such a difference.
+/// Guards against sending requests to another failure domain for a small gain. Measured times of a
+/// few requests made the remote of two equal targets look a tenth faster, and two of three requests
+/// crossed, which costs callers more than that.
 #[test]
-fn requests_stay_near_while_that_costs_little() {
-    let mut pool = pool_with_a_far_target();
+fn requests_stay_in_local_domain_at_low_cost() {
+    let mut pool = pool_with_remote_target();
     for latency in [150, 170, 200, 190, 210, 160, 200, 180] {
-        let assignment = sent(pool.admit(ask(0), at(0)));
+        let assignment = expect_sent(pool.admit(request_at(0), at(0)));
         assert_eq!(assignment.target, id("near"));
-        pool.record_load(&id("near"), figures(0, USUAL), at(0));
+        pool.record_load(&id("near"), load(0, USUAL_PERMILLE), at(0));
         pool.mark_sent(assignment.attempt, at(0));
         let latency = Duration::from_millis(latency);
         pool.finish(assignment.attempt, SlotOutcome::Answered { latency }, None, at(0));
     }
 }
 
-/// All slots nearby are taken, or their servers say that they are slow now: a caller in a hurry is
-/// served elsewhere rather than made to wait.
+/// Guards against keeping an urgent request waiting if all local slots are in use or slow while
+/// remote ones are free.
 #[test]
-fn a_request_crosses_when_near_slots_are_taken_or_slow() {
-    let mut pool = pool_with_a_far_target();
-    let chosen = [(); 3].map(|()| sent(pool.admit(ask(0), at(0))).target);
+fn request_crosses_domains_if_local_slots_are_taken_or_slow() {
+    let mut pool = pool_with_remote_target();
+    let chosen = [(); 3].map(|()| expect_sent(pool.admit(request_at(0), at(0))).target);
     assert_eq!(chosen, [id("near"), id("near"), id("far")]);
-    let mut pool = pool_with_a_far_target();
-    learn_work(&mut pool, "near");
-    pool.record_load(&id("near"), figures(0, SLOW), at(1000));
-    assert_eq!(sent(pool.admit(ask(1000), at(1000))).target, id("far"));
+    let mut pool = pool_with_remote_target();
+    learn_work_time(&mut pool, "near");
+    pool.record_load(&id("near"), load(0, SLOW_PERMILLE), at(1000));
+    assert_eq!(expect_sent(pool.admit(request_at(1000), at(1000))).target, id("far"));
 }
 
-/// A burst fills all slots of two failure domains. Each process filled a slot that it gave back again
-/// before the other one heard of it, far ones too: one of them ended up with half of the slots that
-/// its own failure domain needed taken by the other, and refused 300 requests a second while that
-/// one refused ten. So one that has its share leaves half of a far target's slots free.
+/// During a burst in two failure domains, each process reused a slot that it had freed before the
+/// other one learned of it, including remote slots. One process lost half of the slots in its
+/// failure domain to the other and rejected 300 requests a second, while the other rejected ten.
+/// Guards against this by leaving half of a remote target's slots free to a process that has
+/// reached its share.
 #[test]
-fn a_process_with_its_share_leaves_far_slots_to_those_nearby() {
-    let mut pool = pool_with_a_far_target();
+fn process_at_its_share_leaves_remote_slots_free() {
+    let mut pool = pool_with_remote_target();
     pool.set_sharers(two_sharers(), Permille::new(1000), at(0));
-    let _near = [(); 2].map(|()| sent(pool.admit(ask(0), at(0))));
-    pool.record_load(&id("far"), figures(1, USUAL), at(0));
-    queued(pool.admit(ask(0), at(0)));
+    let _local = [(); 2].map(|()| expect_sent(pool.admit(request_at(0), at(0))));
+    pool.record_load(&id("far"), load(1, USUAL_PERMILLE), at(0));
+    expect_queued(pool.admit(request_at(0), at(0)));
 }
 
-/// The only server of a failure domain is lost. Its requests may take all slots of the others, as long
-/// as these are no more than its share.
+/// Guards against rejecting requests after the loss of a failure domain's only target: they may use
+/// all remote slots up to the process's share.
 #[test]
-fn a_process_with_less_than_its_share_takes_what_is_free() {
-    let mut pool = pool_with_a_far_target();
+fn process_below_its_share_takes_any_free_slot() {
+    let mut pool = pool_with_remote_target();
     pool.set_sharers(two_sharers(), Permille::new(1000), at(0));
-    pool.record_load(&id("near"), figures(2, USUAL), at(0));
-    let chosen = [(); 2].map(|()| sent(pool.admit(ask(0), at(0))).target);
+    pool.record_load(&id("near"), load(2, USUAL_PERMILLE), at(0));
+    let chosen = [(); 2].map(|()| expect_sent(pool.admit(request_at(0), at(0))).target);
     assert_eq!(chosen, [id("far"), id("far")]);
 }
 
-/// Two requests wait for the slow phases of twenty servers to end. Asking all of them 40 times a
-/// second took the processor time that the requests needed.
+/// Guards against probing all twenty slow targets 40 times a second for two waiting requests, which
+/// took the processor time that the requests needed.
 #[test]
-fn as_many_targets_are_asked_as_the_waiting_requests_need() {
+fn probes_are_bounded_by_waiting_requests() {
     let names: Vec<String> = (0..20).map(|number| format!("target-{number:02}")).collect();
     let mut pool = pool(&names.iter().map(String::as_str).collect::<Vec<_>>());
-    learn_work(&mut pool, "target-00");
-    names.iter().for_each(|name| drop(pool.record_load(&id(name), figures(0, SLOW), at(1000))));
-    let _waiting = [(); 2].map(|()| queued(pool.admit(ask(1000), at(1000))));
+    learn_work_time(&mut pool, "target-00");
+    names
+        .iter()
+        .for_each(|name| drop(pool.record_load(&id(name), load(0, SLOW_PERMILLE), at(1000))));
+    let _waiting = [(); 2].map(|()| expect_queued(pool.admit(request_at(1000), at(1000))));
     let first = pool.due_probes(at(1030));
     assert_eq!(first.len(), 8);
     let second = pool.due_probes(at(1030));
-    assert!(second.len() == 8 && second.iter().all(|asked| !first.contains(asked)), "{second:?}");
+    assert!(second.len() == 8 && second.iter().all(|probed| !first.contains(probed)), "{second:?}");
 }
 
-fn pool_with_a_far_target() -> SlotPool {
-    let near = FailureDomain::new("near").unwrap();
-    let config = SlotPoolConfig { failure_domain: Some(near.clone()), ..SlotPoolConfig::default() };
+fn pool_with_remote_target() -> SlotPool {
+    let local_domain = FailureDomain::new("near").unwrap();
+    let config =
+        SlotPoolConfig { failure_domain: Some(local_domain.clone()), ..SlotPoolConfig::default() };
     let mut pool = SlotPool::new(config);
-    let near_target = SlotTarget { failure_domain: near, ..target("near") };
-    pool.set_targets(vec![near_target, target("far")], at(0));
+    let local_target = SlotTarget { failure_domain: local_domain, ..target("near") };
+    pool.set_targets(vec![local_target, target("far")], at(0));
     pool
 }
 
@@ -100,32 +105,33 @@
     (0..TARGETS).map(|number| format!("t{number}")).collect()
 }
 
-/// A burst fills the slots of hundreds of servers, and hundreds of requests wait at one entry. It asked
-/// each server 40 times a second which of them is free: 19,000 questions, more than its processor can
-/// do. Requests waited beside free slots, so that more came to wait, long after the burst had ended.
+/// Guards against a burst that outlasts itself: with hundreds of full targets and hundreds of
+/// waiting requests, an entry probed each target 40 times a second. Its processor can't handle
+/// these 19,000 probes a second, so requests waited although slots were free and the queue grew.
 #[test]
-fn a_long_queue_asks_no_more_than_answers_pay_for() {
+fn probes_are_bounded_by_budget() {
     let names = names();
     let mut pool = pool(&names.iter().map(String::as_str).collect::<Vec<_>>());
-    names.iter().for_each(|name| drop(pool.record_load(&id(name), figures(0, SLOW), at(0))));
-    let queued = (0..300).filter(|_| matches!(pool.admit(ask(0), at(0)), Admission::Queued(_)));
+    names.iter().for_each(|name| drop(pool.record_load(&id(name), load(0, SLOW_PERMILLE), at(0))));
+    let queued =
+        (0..300).filter(|_| matches!(pool.admit(request_at(0), at(0)), Admission::Queued(_)));
     assert_eq!(queued.count(), 300);
-    let probes = (1..84).map(|look| pool.due_probes(at(look * LOOK_MS)).len());
+    let probes = (1..84).map(|round| pool.due_probes(at(round * PROBE_INTERVAL_MS)).len());
     let probes: usize = probes.sum();
     assert!((100..250).contains(&probes), "{probes} in a second without an answer");
 }
 
-/// Each answer shows that asking was worth its price.
+/// Guards against a probe budget that answers don't refill.
 #[test]
-fn answers_pay_for_more_questions() {
+fn answers_refill_probe_budget() {
     let names = names();
     let mut pool = pool(&names.iter().map(String::as_str).collect::<Vec<_>>());
-    names.iter().for_each(|name| drop(pool.record_load(&id(name), figures(0, USUAL), at(0))));
-    let running = sent(pool.admit(ask(0), at(0)));
-    names.iter().for_each(|name| drop(pool.record_load(&id(name), figures(0, SLOW), at(0))));
-    assert!((0..100).all(|_| matches!(pool.admit(ask(0), at(0)), Admission::Queued(_))));
-    let spent: usize = (0..10).map(|_| pool.due_probes(at(30)).len()).sum();
-    assert!(spent >= 100, "{spent}");
+    names.iter().for_each(|name| drop(pool.record_load(&id(name), load(0, USUAL_PERMILLE), at(0))));
+    let running = expect_sent(pool.admit(request_at(0), at(0)));
+    names.iter().for_each(|name| drop(pool.record_load(&id(name), load(0, SLOW_PERMILLE), at(0))));
+    assert!((0..100).all(|_| matches!(pool.admit(request_at(0), at(0)), Admission::Queued(_))));
+    let probes: usize = (0..10).map(|_| pool.due_probes(at(30)).len()).sum();
+    assert!(probes >= 100, "{probes}");
     assert!(pool.due_probes(at(31)).is_empty());
     pool.finish(running.attempt, answered(), None, at(31));
     assert_eq!(pool.due_probes(at(31)).len(), 4);
--- a/crates/balance/tests/slots_load.rs
+++ b/crates/balance/tests/slots_load.rs
@@ -1,10 +1,10 @@
-//! How a pool of slots stands up to load.
+//! Behaviour of a slot pool under load.
 
 mod support;
 
 use support::{Load, Second, Simulation};
 
-/// One of three entries of a large deployment; its slots are two fifths used on a quiet day.
+/// One of three entries of a large deployment, which uses two fifths of its slots under usual load.
 const READS: Load = Load {
     targets: 76,
     work_ms: 210.0,
@@ -28,13 +28,14 @@
     rate: 18.0,
 };
 
-/// Shares of requests in time, by the second in which they were first sent.
+/// Returns the shares of requests that met their objective, by the second in which they were first
+/// sent.
 fn in_time_shares(simulation: &Simulation) -> Vec<f64> {
     simulation.seconds.values().map(Second::in_time_share).collect()
 }
 
 #[test]
-fn a_quiet_day_is_served_in_time() {
+fn steady_load_meets_objective() {
     let mut simulation = Simulation::new(READS, 1);
     simulation.arrivals(0, 10, 1.0);
     simulation.run(14);
@@ -42,10 +43,10 @@
     assert!(shares.iter().all(|share| *share > 0.97), "{shares:?}");
 }
 
-/// All entries lose power; when they are back, everybody who has waited asks at once. Those who
-/// come a second later must not wait behind a queue of requests that are late already.
+/// After a power loss of all entries, all waiting callers send their requests at once. Guards
+/// against requests of the next second waiting behind a queue of requests that are late already.
 #[test]
-fn a_crowd_does_not_delay_those_who_come_after_it() {
+fn requests_after_a_spike_meet_objective() {
     let mut simulation = Simulation::new(READS, 2);
     simulation.crowd(0, 400);
     simulation.arrivals(0, 10, 1.0);
@@ -54,12 +55,13 @@
     assert!(shares[1] > 0.9, "{shares:?}");
     assert!(shares[2..].iter().all(|share| *share > 0.97), "{shares:?}");
     let given_up: u32 = simulation.seconds.values().map(|second| second.given_up).sum();
-    assert!(given_up < 60, "{given_up} of the crowd never got an answer");
+    assert!(given_up < 60, "{given_up} requests of the spike never got an answer");
 }
 
-/// Nearly twice as many callers for five seconds: two thirds of all slots that are not slowed down.
+/// Guards against missed objectives while nearly twice as many requests arrive for five seconds,
+/// which takes two thirds of all slots that are not slowed down.
 #[test]
-fn a_burst_is_served_in_time() {
+fn burst_meets_objective() {
     let mut simulation = Simulation::new(READS, 3);
     simulation.arrivals(0, 4, 1.0);
     simulation.arrivals(4, 9, 1.8);
@@ -69,12 +71,12 @@
     assert!(shares.iter().all(|share| *share > 0.95), "{shares:?}");
 }
 
-/// All entries lose power. At the targets, requests of many entries that did not know of each other
-/// yet take every slot for a while; everybody who has waited asks at once, with deadlines that
-/// differ from the start. Requests that come two seconds later must be in time: they once waited
-/// for seconds behind late ones, which took slots in slow phases and held them five times as long.
+/// After a power loss of all entries, requests from entries that don't know of each other yet fill
+/// every slot for a while, and all waiting callers send their requests at once, with different
+/// deadlines. Guards against requests that arrive two seconds later waiting for seconds behind late
+/// ones, which took slots in slow phases and held them five times as long.
 #[test]
-fn a_loss_of_all_entries_is_over_two_seconds_later() {
+fn service_recovers_two_seconds_after_restart_of_all_entries() {
     for seed in 4..8 {
         let mut simulation = Simulation::new(READS, seed);
         simulation.foreign_requests(1500);
@@ -87,11 +89,11 @@
     }
 }
 
-/// Three of seven servers work four times as long for some seconds, and tell so. The mean of all
-/// that was told, mostly by these, was expected of the others as soon as their last word was a few
-/// hundredths of a second old: requests waited for answers to questions while good slots were free.
+/// Three of seven targets report that work takes four times as long for some seconds. Guards
+/// against applying the mean of these reports to the other targets once their own reports are some
+/// hundredths of a second old: requests waited for probe answers while good slots were free.
 #[test]
-fn slow_targets_say_nothing_about_the_others() {
+fn slow_targets_do_not_affect_estimates_of_others() {
     let (mut in_time, mut probes) = (0, 0);
     for seed in 1..4 {
         let mut simulation = Simulation::new(Load { slow_targets: 3, ..ORDERS }, seed);
--- a/crates/balance/tests/slots_lost_domain.rs
+++ b/crates/balance/tests/slots_lost_domain.rs
@@ -1,4 +1,4 @@
-//! The loss of most targets at one moment, as when a failure domain loses power.
+//! Loss of most targets at once, as when a failure domain loses power.
 
 #![expect(clippy::unwrap_used, reason = "a test builder may end the test")]
 
@@ -8,41 +8,41 @@
 
 use shallotfork_balance::{SlotOutcome, SlotPool, StateChange};
 
-use support::{ask, at, id, pool, queued, sent};
+use support::{at, expect_queued, expect_sent, id, pool, request_at};
 
 const DEAD: [&str; 3] = ["dead-1", "dead-2", "dead-3"];
-const SOUND: &str = "sound";
+const HEALTHY: &str = "sound";
 
-/// Sends two requests to each target, all of which are lost with the dead ones.
+/// Returns a pool that has sent two requests to each target and lost those at the dead ones.
 fn pool_after_loss() -> SlotPool {
-    let mut pool = pool(&[DEAD[0], DEAD[1], DEAD[2], SOUND]);
-    let running: Vec<_> = (0..8).map(|_| sent(pool.admit(ask(0), at(0)))).collect();
+    let mut pool = pool(&[DEAD[0], DEAD[1], DEAD[2], HEALTHY]);
+    let running: Vec<_> = (0..8).map(|_| expect_sent(pool.admit(request_at(0), at(0)))).collect();
     for assignment in &running {
         pool.mark_sent(assignment.attempt, at(0));
     }
-    for assignment in running.iter().filter(|assignment| assignment.target != id(SOUND)) {
+    for assignment in running.iter().filter(|assignment| assignment.target != id(HEALTHY)) {
         pool.finish(assignment.attempt, SlotOutcome::Unreachable, None, at(10));
     }
     pool
 }
 
-/// Guards against requests that are spent on dead targets, one after the other, and refused, while a
-/// sound target has a slot a moment later.
+/// Guards against sending requests to one dead target after the other and then rejecting them,
+/// although a healthy target has a free slot a moment later.
 #[test]
-fn a_request_waits_for_a_sound_target_rather_than_try_dead_ones() {
+fn request_waits_for_healthy_target_instead_of_trying_dead_ones() {
     let mut pool = pool_after_loss();
-    queued(pool.admit(ask(20), at(20)));
+    expect_queued(pool.admit(request_at(20), at(20)));
 }
 
-/// Guards against a long pause, and a line in the log for each request, after a single loss that many
+/// Guards against a long ejection and a log line per request after a single failure that many
 /// requests meet.
 #[test]
-fn requests_that_are_lost_together_count_as_one_loss() {
+fn simultaneous_failures_count_once() {
     let mut pool = pool_after_loss();
-    let beliefs = pool.take_state_changes();
-    assert_eq!(beliefs.len(), DEAD.len(), "{beliefs:?}");
+    let changes = pool.take_state_changes();
+    assert_eq!(changes.len(), DEAD.len(), "{changes:?}");
     let is_first = |change| matches!(change, StateChange::Ejected { failures: 1, .. });
-    assert!(beliefs.iter().all(|belief| is_first(belief.change)), "{beliefs:?}");
+    assert!(changes.iter().all(|change| is_first(change.change)), "{changes:?}");
     assert_eq!(pool.summary(at(409)).ejected, DEAD.len());
     assert_eq!(pool.summary(at(411)).ejected, 0);
 }
--- a/crates/balance/tests/support/fleet.rs
+++ b/crates/balance/tests/support/fleet.rs
@@ -5,7 +5,7 @@
 use shallotfork_balance::{Admission, Assignment, SlotPool};
 use shallotfork_types::Permille;
 
-use super::support::{answered, ask, at};
+use super::support::{answered, at, request_at};
 
 /// Said by processes that see the whole fleet.
 pub const WHOLE: Permille = Permille::new(1000);
@@ -87,7 +87,8 @@
             for (_, assignment) in ended {
                 process.pool.finish(assignment.attempt, answered(), None, at(now_ms));
             }
-            if let Admission::Send(assignment) = process.pool.admit(ask(now_ms), at(now_ms)) {
+            if let Admission::Send(assignment) = process.pool.admit(request_at(now_ms), at(now_ms))
+            {
                 process.pool.mark_sent(assignment.attempt, at(now_ms));
                 self.sends.push((now_ms, assignment.target.to_string()));
                 process.running.push((now_ms + self.service_time_ms, assignment));
--- a/crates/balance/tests/support/slots.rs
+++ b/crates/balance/tests/support/slots.rs
@@ -1,4 +1,5 @@
-//! What tests of a slot pool begin with: a service whose requests take 160 ms and are due in 400.
+//! Fixtures for tests of a slot pool: a service whose requests take 160 ms and have an objective of
+//! 400 ms.
 
 use std::time::Duration;
 
@@ -10,9 +11,9 @@
 
 pub const OBJECTIVE_MS: u64 = 400;
 pub const DEADLINE_MS: u64 = 3000;
-pub const WORK: Duration = Duration::from_millis(160);
-pub const USUAL: u32 = 1000;
-pub const SLOW: u32 = 5000;
+pub const WORK_TIME: Duration = Duration::from_millis(160);
+pub const USUAL_PERMILLE: u32 = 1000;
+pub const SLOW_PERMILLE: u32 = 5000;
 
 pub fn at(ms: u64) -> Mono {
     Mono::from_millis(ms)
@@ -32,12 +33,12 @@
     }
 }
 
-pub fn ask(now_ms: u64) -> SlotRequest {
+pub fn request_at(now_ms: u64) -> SlotRequest {
     let class = WorkClass::new("recipes");
     SlotRequest::new(class, at(now_ms), at(now_ms + OBJECTIVE_MS), at(now_ms + DEADLINE_MS))
 }
 
-pub fn figures(running: u32, pace: u32) -> TargetLoad {
+pub fn load(running: u32, pace: u32) -> TargetLoad {
     TargetLoad { running, waiting: 0, slots: 2, slowdown: Some(Slowdown::new(pace)) }
 }
 
@@ -52,31 +53,31 @@
     pool
 }
 
-pub fn sent(admission: Admission) -> Assignment {
+pub fn expect_sent(admission: Admission) -> Assignment {
     match admission {
         Admission::Send(assignment) => assignment,
         other => panic!("expected a slot, got {other:?}"),
     }
 }
 
-pub fn queued(admission: Admission) -> Ticket {
+pub fn expect_queued(admission: Admission) -> Ticket {
     match admission {
         Admission::Queued(ticket) => ticket,
-        other => panic!("expected a place in the queue, got {other:?}"),
+        other => panic!("expected a queued request, got {other:?}"),
     }
 }
 
 pub fn answered() -> SlotOutcome {
-    SlotOutcome::Answered { latency: WORK }
+    SlotOutcome::Answered { latency: WORK_TIME }
 }
 
-/// Lets a pool measure the usual work at the usual pace.
-pub fn learn_work(pool: &mut SlotPool, name: &str) {
+/// Lets a pool measure the work time of a target at usual speed.
+pub fn learn_work_time(pool: &mut SlotPool, name: &str) {
     for round in 0..5 {
         let now = round * 200;
-        pool.record_load(&id(name), figures(0, USUAL), at(now));
-        let assignment = sent(pool.admit(ask(now), at(now)));
+        pool.record_load(&id(name), load(0, USUAL_PERMILLE), at(now));
+        let assignment = expect_sent(pool.admit(request_at(now), at(now)));
         pool.mark_sent(assignment.attempt, at(now));
-        pool.finish(assignment.attempt, answered(), Some(figures(1, USUAL)), at(now + 160));
+        pool.finish(assignment.attempt, answered(), Some(load(1, USUAL_PERMILLE)), at(now + 160));
     }
 }
--- a/crates/revisions/tests/cursor.rs
+++ b/crates/revisions/tests/cursor.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn watch_goes_on_from_the_last_answer() {
+fn watch_continues_after_last_answered_revision() {
     let mut cursor = Cursor::new();
     assert_eq!(Revision::NONE, cursor.after(replica(1)));
     assert_eq!(ReplicaStatus::Current, cursor.record_answer(replica(1), Revision::NONE, rev(7)));
@@ -24,7 +24,7 @@
 /// 5. The entry must read everything again and follow from 4, or it would wait for 10 and see
 /// nothing of what is published in between.
 #[test]
-fn restored_platform_is_read_in_full_again() {
+fn restored_platform_is_read_in_full() {
     let mut cursor = Cursor::new();
     let one = replica(1);
     let behind = |answers| ReplicaStatus::Behind { highest: rev(9), answers };
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn hearing_of_a_revision_does_not_make_it_known() {
+fn seen_revision_is_not_synced() {
     let mut cursor = Cursor::new();
     cursor.record_seen(rev(9));
     assert_eq!((Revision::NONE, rev(9)), (cursor.synced_revision(), cursor.highest_revision()));
--- a/crates/revisions/tests/pull_gate.rs
+++ b/crates/revisions/tests/pull_gate.rs
@@ -14,7 +14,7 @@
 /// A peer runs an older version that refuses a list which is accepted here, so that the two differ
 /// until it is replaced. Its lists must not be read at every heartbeat meanwhile.
 #[test]
-fn lasting_difference_is_read_at_an_interval() {
+fn lasting_difference_is_pulled_at_interval() {
     let mut gate = PullGate::new(REPEAT);
     let peer = VmId::new("e1").unwrap();
     let opens_at_s: Vec<u64> = (0..12)
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn each_new_difference_is_read_at_once() {
+fn new_difference_is_pulled_at_once() {
     let mut gate = PullGate::new(REPEAT);
     let peer = VmId::new("e1").unwrap();
     assert!(gate.try_admit(&peer, pair(1, 2), Mono::ZERO));
--- a/crates/revisions/tests/tracker.rs
+++ b/crates/revisions/tests/tracker.rs
@@ -40,7 +40,7 @@
 /// An operator publishes a list that does not parse. The last good list stays in force; the bad
 /// one is reported once, however often it is offered, and the next good one takes effect.
 #[test]
-fn bad_list_leaves_the_last_good_one_in_force() {
+fn invalid_list_leaves_last_valid_one_in_force() {
     let mut tracker = Tracker::new();
     tracker.offer(&offered(5, "good"));
     let in_force = Some(Revision::new(5));
@@ -55,7 +55,7 @@
 /// A VM starts while the platform serves a bad revision 6 and asks a peer, which still has the
 /// good revision 5 in force. Refusing 5 because 6 was seen would leave the VM without a list.
 #[test]
-fn good_list_from_a_peer_is_taken_after_a_bad_one_was_seen() {
+fn valid_list_from_peer_is_accepted_after_invalid_one() {
     let mut tracker = Tracker::new();
     tracker.offer(&invalid(6, "bad"));
     assert_eq!(OfferOutcome::Accepted { from: None }, tracker.offer(&offered(5, "good")));
@@ -64,7 +64,7 @@
 /// Two operators publish at once and two replicas each take one content as revision 5. One entry
 /// reads the first replica, another entry the second; both must end with the same list.
 #[test]
-fn conflicting_contents_settle_the_same_way_everywhere() {
+fn conflicting_contents_converge() {
     let [greater, lesser] = ordered_contents();
     let mut one = Tracker::new();
     one.offer(&offered(5, greater));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn processes_that_saw_the_same_offers_agree() {
+fn processes_with_same_offers_agree() {
     fn agree(history: History, seed: u64) -> bool {
         let mut one = Tracker::new();
         let mut other = Tracker::new();
