--- a/crates/revisions/src/digest.rs
+++ b/crates/revisions/src/digest.rs
@@ -1,4 +1,4 @@
-//! Fingerprints of contents.
+//! Digests of contents.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,17 +13,17 @@
 pub struct Digest([u8; DIGEST_BYTES]);
 
 impl Digest {
-    /// The digest of `content`.
+    /// Computes the digest of `content`.
     pub fn of(content: &[u8]) -> Self {
         Self(Sha256::digest(content).into())
     }
 
-    /// Wraps the bytes of a digest, as a peer sent them.
+    /// Creates a digest from bytes sent by a peer.
     pub fn new(bytes: [u8; DIGEST_BYTES]) -> Self {
         Self(bytes)
     }
 
-    /// The bytes, for wire formats.
+    /// Returns the bytes, for wire formats.
     pub fn as_bytes(&self) -> &[u8; DIGEST_BYTES] {
         &self.0
     }
@@ -39,15 +39,16 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let expected = || ParseError::new("64 hexadecimal digits", text);
-        let whole = text.len() == DIGEST_BYTES * 2 && text.bytes().all(|b| b.is_ascii_hexdigit());
-        if !whole {
-            return Err(expected());
+        let parse_error = || ParseError::new("64 hexadecimal digits", text);
+        let is_valid =
+            text.len() == DIGEST_BYTES * 2 && text.bytes().all(|b| b.is_ascii_hexdigit());
+        if !is_valid {
+            return Err(parse_error());
         }
         let mut bytes = [0; DIGEST_BYTES];
         for (index, byte) in bytes.iter_mut().enumerate() {
             let digits = &text[index * 2..index * 2 + 2];
-            *byte = u8::from_str_radix(digits, 16).map_err(|_| expected())?;
+            *byte = u8::from_str_radix(digits, 16).map_err(|_| parse_error())?;
         }
         Ok(Self(bytes))
     }
--- a/crates/revisions/src/lib.rs
+++ b/crates/revisions/src/lib.rs
@@ -1,8 +1,8 @@
-//! Which version of a published list is in force.
+//! Selection of the version of a published list that is in force.
 //!
 //! The version in force is the greatest valid one ever offered, ordered by revision and then by
-//! digest. A maximum does not depend on the order of offers, so processes that have seen the same
-//! offers agree, and it never falls. Nothing here does I/O or reads a clock.
+//! digest. This maximum does not depend on the order of offers, so processes that have received the
+//! same offers agree, and it never decreases. Nothing in this crate does I/O or reads a clock.
 
 mod cursor;
 mod digest;
--- a/crates/revisions/src/tracker.rs
+++ b/crates/revisions/src/tracker.rs
@@ -1,4 +1,4 @@
-//! The version in force of each list.
+//! Version in force of each list.
 
 use std::collections::BTreeMap;
 
@@ -7,99 +7,101 @@
 
 use crate::{ConflictWinner, OfferOutcome, OfferedVersion, Version};
 
-/// Remembers the version in force of each list and the last one refused.
+/// Tracks the version in force and the last refused version of each list.
 #[derive(Debug, Default)]
 pub struct Tracker {
-    lists: BTreeMap<ListName, Versions>,
+    lists: BTreeMap<ListName, ListState>,
     digest: ListsDigest,
 }
 
 #[derive(Debug, Default)]
-struct Versions {
+struct ListState {
     in_force: Option<Version>,
     refused: Option<Version>,
 }
 
 impl Tracker {
-    /// A tracker with no list in force.
+    /// Creates a tracker with no list in force.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Whether offering this version would change nothing, so that it need not be validated.
+    /// Returns whether offering this version would change nothing, so that it need not be
+    /// validated.
     pub fn is_known(&self, name: &ListName, version: &Version) -> bool {
-        self.lists.get(name).is_some_and(|versions| versions.knows(version))
+        self.lists.get(name).is_some_and(|list| list.is_known(version))
     }
 
-    /// Decides what becomes of an offered version.
+    /// Offers a version and returns the outcome.
     pub fn offer(&mut self, offered: &OfferedVersion) -> OfferOutcome {
-        let versions = self.lists.entry(offered.name.clone()).or_default();
-        let before = versions.in_force;
-        let offer = versions.offer(offered.version, offered.valid);
-        if offer.takes_effect() {
+        let list = self.lists.entry(offered.name.clone()).or_default();
+        let before = list.in_force;
+        let outcome = list.offer(offered.version, offered.valid);
+        if outcome.takes_effect() {
             let without = before.map_or(self.digest, |version| {
-                self.digest.without_list(number_of(&offered.name, &version))
+                self.digest.without_list(list_hash(&offered.name, &version))
             });
-            self.digest = without.with_list(number_of(&offered.name, &offered.version));
+            self.digest = without.with_list(list_hash(&offered.name, &offered.version));
         }
-        offer
+        outcome
     }
 
-    /// Fingerprint of every version in force; processes with the same lists have the same one.
+    /// Returns the digest of all versions in force; processes with the same lists have the same
+    /// digest.
     pub fn digest(&self) -> ListsDigest {
         self.digest
     }
 
-    /// The version in force of one list.
+    /// Returns the version in force of one list.
     pub fn in_force(&self, name: &ListName) -> Option<Version> {
-        self.lists.get(name).and_then(|versions| versions.in_force)
+        self.lists.get(name).and_then(|list| list.in_force)
     }
 
-    /// The last version of one list that was refused as invalid or lost a conflict, if it is not
-    /// older than the one in force.
+    /// Returns the last version of one list that was refused as invalid or lost a conflict, unless
+    /// it is older than the one in force.
     pub fn refused(&self, name: &ListName) -> Option<Version> {
-        let versions = self.lists.get(name)?;
-        versions.refused.filter(|refused| Some(refused.revision) >= versions.revision())
+        let list = self.lists.get(name)?;
+        list.refused.filter(|refused| Some(refused.revision) >= list.revision())
     }
 
-    /// Every list that was ever offered, ordered by name, with its version in force. A list whose
-    /// versions were all refused has none.
+    /// Returns every list that was ever offered, ordered by name, with its version in force. A list
+    /// whose versions were all refused has none.
     pub fn lists(&self) -> impl Iterator<Item = (&ListName, Option<Version>)> {
-        self.lists.iter().map(|(name, versions)| (name, versions.in_force))
+        self.lists.iter().map(|(name, list)| (name, list.in_force))
     }
 }
 
-/// The part of one list in the fingerprint of all.
-fn number_of(name: &ListName, version: &Version) -> u64 {
+/// Returns the part of one list in the digest of all lists.
+fn list_hash(name: &ListName, version: &Version) -> u64 {
     let hash = Sha256::new()
         .chain_update(name.to_string())
         .chain_update(version.revision.value().to_le_bytes())
         .chain_update(version.digest.as_bytes())
         .finalize();
-    let mut number = [0; size_of::<u64>()];
-    number.copy_from_slice(&hash[..size_of::<u64>()]);
-    u64::from_le_bytes(number)
+    let mut prefix = [0; size_of::<u64>()];
+    prefix.copy_from_slice(&hash[..size_of::<u64>()]);
+    u64::from_le_bytes(prefix)
 }
 
-impl Versions {
+impl ListState {
     fn revision(&self) -> Option<Revision> {
         self.in_force.map(|version| version.revision)
     }
 
-    fn knows(&self, version: &Version) -> bool {
+    fn is_known(&self, version: &Version) -> bool {
         self.in_force.as_ref() == Some(version) || self.refused.as_ref() == Some(version)
     }
 
     fn offer(&mut self, version: Version, valid: bool) -> OfferOutcome {
-        if self.knows(&version) {
+        if self.is_known(&version) {
             return OfferOutcome::Known;
         }
-        // A replica that lags, or a platform restored from a backup, offers what was in force
-        // earlier; taking it would undo a change that operators have seen take effect.
+        // A replica that lags, or a platform restored from a backup, offers an earlier version
+        // again. Accepting it would undo a change that operators have seen take effect.
         if let Some(in_force) = self.revision().filter(|revision| version.revision < *revision) {
             return OfferOutcome::Lower { in_force };
         }
-        let conflict = self.has_other_content(&version);
+        let conflict = self.is_conflict(&version);
         let outranked = self.in_force.is_some_and(|in_force| version < in_force);
         if !valid || outranked {
             return self.refuse(version, conflict);
@@ -121,10 +123,13 @@
         OfferOutcome::Invalid { in_force: self.revision() }
     }
 
-    /// Two operators publishing at once through replicas that do not agree can put two contents
-    /// under one revision. Entries that saw different ones would differ for good; ordering by
-    /// digest makes every entry settle on the same one, whichever it saw first.
-    fn has_other_content(&self, version: &Version) -> bool {
+    /// Returns whether another content is known under the same revision.
+    ///
+    /// Two operators who publish at the same time through replicas that disagree can put two
+    /// contents under one revision. Entries that received different ones would differ permanently;
+    /// ordering by digest makes every entry settle on the same content, whichever it received
+    /// first.
+    fn is_conflict(&self, version: &Version) -> bool {
         [self.in_force, self.refused]
             .into_iter()
             .flatten()
--- a/crates/revisions/tests/cursor.rs
+++ b/crates/revisions/tests/cursor.rs
@@ -1,4 +1,4 @@
-//! Watching replicas of a platform that lag or were restored.
+//! Watching platform replicas that lag or were restored from a backup.
 
 use shallotfork_revisions::{Cursor, ReplicaStatus};
 use shallotfork_types::{Endpoint, Revision};
@@ -20,9 +20,9 @@
     assert_eq!(ReplicaStatus::Current, cursor.record_answer(replica(1), rev(7), rev(7)));
 }
 
-/// The platform is restored from a backup: it falls from revision 9 to 4, then operators publish
-/// 5. The entry must read everything again and follow from 4, or it would wait for 10 and see
-/// nothing of what is published in between.
+/// A platform restored from a backup falls from revision 9 to 4, then operators publish 5. Guards
+/// against an entry that waits for revision 10 and misses everything in between instead of reading
+/// all lists again and continuing from 4.
 #[test]
 fn restored_platform_is_read_in_full() {
     let mut cursor = Cursor::new();
@@ -38,8 +38,8 @@
     assert!(!cursor.is_behind(one));
 }
 
-/// One of two replicas lags. Asking it for changes after what the other one has shown would wait
-/// for nothing; each is followed at its own revision, and the lag shows.
+/// Guards against asking a lagging replica for changes after a revision that only another replica
+/// has reached: the request would wait for nothing, and the lag would not show.
 #[test]
 fn each_replica_is_followed_at_its_own_revision() {
     let mut cursor = Cursor::new();
--- a/crates/revisions/tests/pull_gate.rs
+++ b/crates/revisions/tests/pull_gate.rs
@@ -1,4 +1,4 @@
-//! Reading the lists of a peer whose lists differ.
+//! Pulls from peers whose lists differ.
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
     DigestPair { own: ListsDigest::new(own), peer: ListsDigest::new(peer) }
 }
 
-/// A peer runs an older version that refuses a list which is accepted here, so that the two differ
-/// until it is replaced. Its lists must not be read at every heartbeat meanwhile.
+/// Guards against pulling a peer's lists at every heartbeat while it runs an older version that
+/// refuses a list accepted here, so that the two differ until the peer is replaced.
 #[test]
 fn lasting_difference_is_pulled_at_interval() {
     let mut gate = PullGate::new(REPEAT);
     let peer = VmId::new("e1").unwrap();
-    let opens_at_s: Vec<u64> = (0..12)
+    let admitted_at_s: Vec<u64> = (0..12)
         .filter(|second| gate.try_admit(&peer, pair(1, 2), Mono::from_millis(second * 1000)))
         .collect();
-    assert_eq!(vec![0, 5, 10], opens_at_s);
+    assert_eq!(vec![0, 5, 10], admitted_at_s);
 }
 
 #[test]
--- a/crates/revisions/tests/tracker.rs
+++ b/crates/revisions/tests/tracker.rs
@@ -1,4 +1,4 @@
-//! Which version is in force, whatever the order of offers.
+//! Version in force, independent of the order of offers.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use shallotfork_revisions::{ConflictWinner, OfferOutcome, OfferedVersion, Tracker, Version};
@@ -18,15 +18,15 @@
     OfferedVersion { valid: false, ..offered(revision, content) }
 }
 
-/// Two contents, the greater digest first.
+/// Returns two contents, the greater digest first.
 fn ordered_contents() -> [&'static str; 2] {
     let mut contents = ["first", "second"];
     contents.sort_by_key(|content| std::cmp::Reverse(version(1, content)));
     contents
 }
 
-/// An operator publishes revision 5; a replica that still has revision 4 answers next. Were 4
-/// taken, callers would see the old rules again after the new ones had taken effect.
+/// Guards against a replica that still has revision 4 undoing revision 5: callers would be served
+/// by the old rules again after the new ones had taken effect.
 #[test]
 fn stale_replica_does_not_undo_a_change() {
     let mut tracker = Tracker::new();
@@ -37,8 +37,8 @@
     assert_eq!(Some(version(5, "new")), tracker.in_force(&RULES));
 }
 
-/// An operator publishes a list that does not parse. The last good list stays in force; the bad
-/// one is reported once, however often it is offered, and the next good one takes effect.
+/// Guards against an unparsable list replacing the last valid one. It is reported once, however
+/// often it is offered, and the next valid list takes effect.
 #[test]
 fn invalid_list_leaves_last_valid_one_in_force() {
     let mut tracker = Tracker::new();
@@ -52,8 +52,8 @@
     assert_eq!(None, tracker.refused(&RULES));
 }
 
-/// A VM starts while the platform serves a bad revision 6 and asks a peer, which still has the
-/// good revision 5 in force. Refusing 5 because 6 was seen would leave the VM without a list.
+/// A VM that starts while the platform serves an invalid revision 6 pulls the valid revision 5 from
+/// a peer. Guards against refusing 5 because 6 was seen, which would leave the VM without a list.
 #[test]
 fn valid_list_from_peer_is_accepted_after_invalid_one() {
     let mut tracker = Tracker::new();
@@ -61,8 +61,8 @@
     assert_eq!(OfferOutcome::Accepted { from: None }, tracker.offer(&offered(5, "good")));
 }
 
-/// Two operators publish at once and two replicas each take one content as revision 5. One entry
-/// reads the first replica, another entry the second; both must end with the same list.
+/// Two operators publish at the same time, and two replicas each store one of the contents as
+/// revision 5. Guards against entries that read different replicas and keep different lists.
 #[test]
 fn conflicting_contents_converge() {
     let [greater, lesser] = ordered_contents();
@@ -95,8 +95,8 @@
 }
 
 impl History {
-    /// Few revisions and contents, so that conflicts are common; a content is always valid or
-    /// always invalid, as validation is deterministic.
+    /// Returns offers with few revisions and contents, so that conflicts are common. A content is
+    /// always valid or always invalid, since validation is deterministic.
     fn offers(&self) -> Vec<OfferedVersion> {
         let offer = |&(revision, content, _): &(u8, u8, bool)| OfferedVersion {
             valid: content % 4 != 0,
@@ -105,7 +105,7 @@
         self.0.iter().map(offer).collect()
     }
 
-    fn seen_by(&self, process: bool) -> Vec<OfferedVersion> {
+    fn offers_to(&self, process: bool) -> Vec<OfferedVersion> {
         let all = self.offers().into_iter().zip(&self.0);
         all.filter(|(_, (_, _, to))| *to == process).map(|(offer, _)| offer).collect()
     }
@@ -115,7 +115,7 @@
     QuickCheck::new().rng(Gen::from_size_and_seed(60, 5)).tests(1000).quickcheck(property);
 }
 
-fn show(tracker: &mut Tracker, offers: &[OfferedVersion]) {
+fn offer_all(tracker: &mut Tracker, offers: &[OfferedVersion]) {
     for offer in offers {
         tracker.offer(offer);
     }
@@ -133,14 +133,14 @@
     fn agree(history: History, seed: u64) -> bool {
         let mut one = Tracker::new();
         let mut other = Tracker::new();
-        show(&mut one, &history.seen_by(true));
-        show(&mut other, &history.seen_by(false));
+        offer_all(&mut one, &history.offers_to(true));
+        offer_all(&mut other, &history.offers_to(false));
         let same_lists = one.in_force(&RULES) == other.in_force(&RULES);
-        let told_apart = same_lists == (one.digest() == other.digest());
+        let digests_match_lists = same_lists == (one.digest() == other.digest());
         let all = history.offers();
-        show(&mut one, &shuffled(all.clone(), seed));
-        show(&mut other, &all);
-        told_apart
+        offer_all(&mut one, &shuffled(all.clone(), seed));
+        offer_all(&mut other, &all);
+        digests_match_lists
             && one.in_force(&RULES) == other.in_force(&RULES)
             && one.digest() == other.digest()
     }
@@ -153,11 +153,11 @@
         let mut tracker = Tracker::new();
         history.offers().iter().all(|offer| {
             let before = tracker.in_force(&RULES);
-            let answer = tracker.offer(offer);
+            let outcome = tracker.offer(offer);
             let after = tracker.in_force(&RULES);
-            let took = answer.takes_effect();
-            let changed = if took { after == Some(offer.version) } else { after == before };
-            before <= after && changed && (!took || offer.valid)
+            let took_effect = outcome.takes_effect();
+            let changed = if took_effect { after == Some(offer.version) } else { after == before };
+            before <= after && changed && (!took_effect || offer.valid)
         })
     }
     check(rises);
