--- a/crates/balance/src/slots/pool.rs
+++ b/crates/balance/src/slots/pool.rs
@@ -324,7 +324,7 @@
     /// is how late this process noticed it.
     ///
     /// A process that is short of processor time reads answers too late although they arrived in
-    /// time. After a restart of all entries this would eject healthy targets by the dozen.
+    /// time. Right after a loss of all entries this would eject healthy targets by the dozen.
     pub fn record_failed_probe(&mut self, id: &TargetId, scheduling_delay: Duration, now: Mono) {
         let Some(target) = self.targets.get_mut(id) else { return };
         target.is_silent = false;
--- a/crates/balance/src/slots/target.rs
+++ b/crates/balance/src/slots/target.rs
@@ -56,7 +56,7 @@
     pub(super) started_at: Mono,
     /// Slowdown of the target when the attempt was sent; `None` if it was unknown.
     pub(super) slowdown: Option<f64>,
-    pub(super) is_saturated: bool,
+    pub(super) was_saturated_at_start: bool,
     /// Whether the target was saturated at any time since the attempt was assigned.
     met_saturation: bool,
     /// Whether the attempt has been sent to the target; before that it only holds a slot in this
@@ -325,20 +325,20 @@
     }
 
     pub(super) fn start_attempt(&mut self, attempt: AttemptId, class: &WorkClass, now: Mono) {
-        let is_saturated = self.would_saturate(now);
+        let was_saturated_at_start = self.would_saturate(now);
         let running = RunningAttempt {
             attempt,
             class: class.clone(),
             started_at: now,
             slowdown: None,
-            is_saturated,
+            was_saturated_at_start,
             met_saturation: false,
             is_sent: false,
             assigned_warm: false,
             expected_us: f64::INFINITY,
         };
         self.running.push(running);
-        if is_saturated {
+        if was_saturated_at_start {
             self.running.iter_mut().for_each(|running| running.met_saturation = true);
         }
     }
@@ -356,7 +356,7 @@
         let index = self.running.iter().position(|running| running.attempt == attempt);
         let Some(index) = index else { return };
         let (class, is_saturated) =
-            (self.running[index].class.clone(), self.running[index].is_saturated);
+            (self.running[index].class.clone(), self.running[index].was_saturated_at_start);
         let expected_us = self.base_time_us(&class, is_saturated, now, estimates) * slowdown;
         let running = &mut self.running[index];
         let first = !running.is_sent;
@@ -427,7 +427,7 @@
         let time_us = latency.as_micros() as f64;
         let usual_us = estimates.work_us(&running.class)
             * slowdown
-            * estimates.saturation_cost(running.is_saturated);
+            * estimates.saturation_cost(running.was_saturated_at_start);
         let ratio = (time_us / usual_us).min(WORK_TIME_SAMPLE_MAX);
         self.work_time_factor += (ratio - self.work_time_factor) * WORK_TIME_FACTOR_WEIGHT;
         self.work_time_factor =
@@ -436,7 +436,12 @@
             time_us / (estimates.work_us(&running.class) * slowdown),
             running.met_saturation,
         );
-        estimates.record_work_time(&running.class, time_us, slowdown, running.is_saturated);
+        estimates.record_work_time(
+            &running.class,
+            time_us,
+            slowdown,
+            running.was_saturated_at_start,
+        );
     }
 
     fn record_failure(
--- a/crates/balance/tests/slots.rs
+++ b/crates/balance/tests/slots.rs
@@ -111,15 +111,15 @@
     for assignment in &running {
         pool.mark_sent(assignment.attempt, at(now));
     }
-    let patient_request = |returning: bool| {
-        let request = request_at(now).with_resubmitted(returning);
+    let patient_request = |resubmitted: bool| {
+        let request = request_at(now).with_resubmitted(resubmitted);
         SlotRequest { objective: at(now + 5000), ..request }
     };
     expect_queued(pool.admit(patient_request(false), at(now)));
-    let returning = expect_queued(pool.admit(patient_request(true), at(now + 1)));
+    let resubmitted = expect_queued(pool.admit(patient_request(true), at(now + 1)));
     let woken =
         pool.finish(running[0].attempt, answered(), Some(load(2, USUAL_PERMILLE)), at(now + 2));
-    assert_eq!(woken.iter().map(|woken| woken.ticket).collect::<Vec<_>>(), [returning]);
+    assert_eq!(woken.iter().map(|woken| woken.ticket).collect::<Vec<_>>(), [resubmitted]);
 }
 
 #[test]
--- a/crates/balance/tests/slots_load.rs
+++ b/crates/balance/tests/slots_load.rs
@@ -76,7 +76,7 @@
 /// deadlines. Guards against requests that arrive two seconds later waiting for seconds behind late
 /// ones, which took slots in slow phases and held them five times as long.
 #[test]
-fn service_recovers_two_seconds_after_restart_of_all_entries() {
+fn service_recovers_two_seconds_after_loss_of_all_entries() {
     for seed in 4..8 {
         let mut simulation = Simulation::new(READS, seed);
         simulation.foreign_requests(1500);
--- a/crates/balance/tests/slots_saturation.rs
+++ b/crates/balance/tests/slots_saturation.rs
@@ -16,13 +16,13 @@
 const TARGETS: usize = 24;
 const SLOTS: u32 = 6;
 /// Number of runs above which a target slows down.
-const UNSATURATED: usize = 4;
+const UNSATURATED_RUNS_MAX: usize = 4;
 const WORK_MS: f64 = 160.0;
 const STEP_MS: u64 = 10;
 /// Requests per step under normal load and under overload.
-const CALM_REQUESTS: usize = 2;
+const NORMAL_REQUESTS: usize = 2;
 const OVERLOAD_REQUESTS: usize = 12;
-const CALM_MS: u64 = 4_000;
+const NORMAL_MS: u64 = 4_000;
 const SIMULATED_MS: u64 = 16_000;
 /// Time from which the use of slots is measured, after the start of the overload.
 const MEASURED_FROM_MS: u64 = 10_000;
@@ -53,7 +53,7 @@
     for now_ms in (0..SIMULATED_MS).step_by(STEP_MS as usize) {
         let now = at(now_ms);
         for (name, runs) in &mut running {
-            let rate = if runs.len() > UNSATURATED { 1.0 / slowdown } else { 1.0 };
+            let rate = if runs.len() > UNSATURATED_RUNS_MAX { 1.0 / slowdown } else { 1.0 };
             runs.iter_mut().for_each(|run| run.remaining_ms -= STEP_MS as f64 * rate);
             let count = u32::try_from(runs.len()).unwrap();
             for run in runs.extract_if(.., |run| run.remaining_ms <= 0.0) {
@@ -69,7 +69,7 @@
                 now,
             );
         }
-        let arrivals = if now_ms < CALM_MS { CALM_REQUESTS } else { OVERLOAD_REQUESTS };
+        let arrivals = if now_ms < NORMAL_MS { NORMAL_REQUESTS } else { OVERLOAD_REQUESTS };
         for _ in 0..arrivals {
             let assignment = match pool.admit(request_at(now_ms), now) {
                 Admission::Send(assignment) => assignment,
@@ -97,7 +97,7 @@
 fn slots_stay_free_if_saturation_costs_more_than_it_adds() {
     let outcome = simulate(1.7);
     assert!(outcome.mean_running < 4.4, "{} runs at a target", outcome.mean_running);
-    let unsaturated_per_s = TARGETS as f64 * UNSATURATED as f64 * 1000.0 / WORK_MS;
+    let unsaturated_per_s = TARGETS as f64 * UNSATURATED_RUNS_MAX as f64 * 1000.0 / WORK_MS;
     let simulated_s = (SIMULATED_MS - MEASURED_FROM_MS) as f64 / 1000.0;
     let answered_per_s = outcome.answered as f64 / simulated_s;
     assert!(answered_per_s > 0.85 * unsaturated_per_s, "{answered_per_s} of {unsaturated_per_s}");
--- a/crates/balance/tests/support/slots.rs
+++ b/crates/balance/tests/support/slots.rs
@@ -38,8 +38,8 @@
     SlotRequest::new(class, at(now_ms), at(now_ms + OBJECTIVE_MS), at(now_ms + DEADLINE_MS))
 }
 
-pub fn load(running: u32, pace: u32) -> TargetLoad {
-    TargetLoad { running, waiting: 0, slots: 2, slowdown: Some(Slowdown::new(pace)) }
+pub fn load(running: u32, slowdown_permille: u32) -> TargetLoad {
+    TargetLoad { running, waiting: 0, slots: 2, slowdown: Some(Slowdown::new(slowdown_permille)) }
 }
 
 pub fn pool(names: &[&str]) -> SlotPool {
