--- a/crates/balance/src/slots/pool.rs
+++ b/crates/balance/src/slots/pool.rs
@@ -12,7 +12,7 @@
 use super::queue::SlotQueue;
 use super::target::Target;
 use super::{SlotRequest, WorkClass};
-use crate::{Admission, Assignment, AttemptId, Shed, ShedReason, Ticket, Woken};
+use crate::{Admission, Assignment, AttemptId, ResolvedTicket, Shed, ShedReason, Ticket};
 
 /// Scheduling delay of this process beyond which an answer that seems missing may have arrived
 /// unread. Timers fire a millisecond or two late in any case.
@@ -125,7 +125,7 @@
     }
 
     /// Sets the published targets and keeps the state of those that were known before.
-    pub fn set_targets(&mut self, published: Vec<SlotTarget>, now: Mono) -> Vec<Woken> {
+    pub fn set_targets(&mut self, published: Vec<SlotTarget>, now: Mono) -> Vec<ResolvedTicket> {
         let mut known = std::mem::take(&mut self.targets);
         let cold_for_max = self.cold_for_max();
         for mut target in published {
@@ -203,7 +203,7 @@
         outcome: SlotOutcome,
         load: Option<TargetLoad>,
         now: Mono,
-    ) -> Vec<Woken> {
+    ) -> Vec<ResolvedTicket> {
         let Some(id) = self.attempts.remove(&attempt) else { return Vec::new() };
         if let Some(target) = self.targets.get_mut(&id) {
             if let Some(running) = target.remove_attempt(attempt) {
@@ -228,7 +228,12 @@
     }
 
     /// Records the load that a target reported in a probe answer.
-    pub fn record_load(&mut self, id: &TargetId, load: TargetLoad, now: Mono) -> Vec<Woken> {
+    pub fn record_load(
+        &mut self,
+        id: &TargetId,
+        load: TargetLoad,
+        now: Mono,
+    ) -> Vec<ResolvedTicket> {
         let Some(target) = self.targets.get_mut(id) else { return Vec::new() };
         target.is_silent = false;
         target.record_load(load, &mut self.estimates, now);
@@ -242,7 +247,7 @@
 
     /// Sheds requests that have waited long enough and uses targets whose ejection has ended. To be
     /// called at short intervals while requests wait.
-    pub fn expire(&mut self, now: Mono) -> Vec<Woken> {
+    pub fn expire(&mut self, now: Mono) -> Vec<ResolvedTicket> {
         self.wake(now)
     }
 
--- a/crates/balance/src/slots/wake.rs
+++ b/crates/balance/src/slots/wake.rs
@@ -6,14 +6,14 @@
 
 use super::pool::TargetFilter;
 use super::{SlotPool, SlotRequest, WorkClass};
-use crate::{Admission, Resolution, ShedReason, Ticket, Woken};
+use crate::{Admission, Resolution, ResolvedTicket, ShedReason, Ticket};
 
 impl SlotPool {
     /// Assigns the open slots of a target whose state has changed to waiting requests.
     ///
     /// Only this target's slots can have become usable. With hundreds of targets and queued
     /// requests, comparing all of them at each answer takes longer than serving a request.
-    pub(super) fn wake_for_target(&mut self, id: &TargetId, now: Mono) -> Vec<Woken> {
+    pub(super) fn wake_for_target(&mut self, id: &TargetId, now: Mono) -> Vec<ResolvedTicket> {
         let mut woken = Vec::new();
         if self.queue.is_empty() || !self.has_open_slot(id, now) {
             return woken;
@@ -26,7 +26,7 @@
                 self.queue.push(ticket, request);
                 continue;
             };
-            woken.push(Woken { ticket, resolution: Resolution::Send(assignment) });
+            woken.push(ResolvedTicket { ticket, resolution: Resolution::Send(assignment) });
             if !self.has_open_slot(id, now) {
                 break;
             }
@@ -54,7 +54,7 @@
         ranked.into_iter().map(|(ticket, _)| ticket).collect()
     }
 
-    pub(super) fn wake(&mut self, now: Mono) -> Vec<Woken> {
+    pub(super) fn wake(&mut self, now: Mono) -> Vec<ResolvedTicket> {
         let mut woken = Vec::new();
         // Comparing a long queue with every target at each answer would take too long. Once a
         // request finds no slot, later ones for which a slow slot is judged alike are skipped this
@@ -65,7 +65,7 @@
             let key = (request.class.clone(), self.can_meet_objective(&request, now));
             let skip_assignment = request.exclude.is_empty() && unservable.contains(&key);
             if let Some(resolution) = self.resolve(&request, skip_assignment, now) {
-                woken.push(Woken { ticket, resolution });
+                woken.push(ResolvedTicket { ticket, resolution });
                 continue;
             }
             if request.exclude.is_empty() {
--- a/crates/balance/tests/draining.rs
+++ b/crates/balance/tests/draining.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use shallotfork_balance::{
-    Admission, Ask, Assignment, AttemptOutcome, Pool, PoolConfig, PoolTarget, TargetConfig,
+    Admission, Assignment, AttemptOutcome, Pool, PoolConfig, PoolRequest, PoolTarget, TargetConfig,
 };
 use shallotfork_measure::LoadReport;
 use shallotfork_types::{FailureDomain, Mono, TargetId};
@@ -40,7 +40,7 @@
     }
 
     fn send_request(&mut self) -> TargetId {
-        let request = Ask::new(self.now.plus(Duration::from_secs(1)));
+        let request = PoolRequest::new(self.now.plus(Duration::from_secs(1)));
         let Admission::Send(Assignment { attempt, target }) = self.pool.admit(request, self.now)
         else {
             panic!("an idle pool must send at once");
@@ -80,7 +80,7 @@
     let mut harness = Harness::new(2).with_draining(0);
     harness.send_requests(50);
     harness.draining.clear();
-    harness.now = harness.now.plus(TargetConfig::default().drain_trust);
+    harness.now = harness.now.plus(TargetConfig::default().drain_report_ttl);
     let sent = harness.send_requests(500);
     assert!(count(&sent, 0) > 50, "requests to the returned target: {}", count(&sent, 0));
 }
--- a/crates/balance/tests/slots.rs
+++ b/crates/balance/tests/slots.rs
@@ -10,8 +10,8 @@
 
 use quickcheck::QuickCheck;
 use shallotfork_balance::{
-    Admission, Assignment, Resolution, RetryAllowance, RetryWindow, ShedReason, SlotOutcome,
-    SlotPool, SlotRequest, SlotTarget, Ticket, Woken,
+    Admission, Assignment, Resolution, ResolvedTicket, RetryAllowance, RetryWindow, ShedReason,
+    SlotOutcome, SlotPool, SlotRequest, SlotTarget, Ticket,
 };
 use shallotfork_types::Permille;
 
@@ -20,7 +20,7 @@
     load, named_pool, pool, request_at, target,
 };
 
-fn target_of(woken: &Woken) -> Option<&str> {
+fn target_of(woken: &ResolvedTicket) -> Option<&str> {
     match &woken.resolution {
         Resolution::Send(assignment) => Some(assignment.target.as_str()),
         Resolution::Shed(_) => None,
@@ -179,9 +179,9 @@
         for (is_request, gap_ms) in steps {
             now += u64::from(gap_ms);
             if is_request {
-                limit.request(at(now));
+                limit.record_request(at(now));
                 requests.push(now);
-            } else if limit.try_repeat(allowance, at(now)) {
+            } else if limit.try_acquire(allowance, at(now)) {
                 repeats.push(now);
             }
         }
@@ -257,8 +257,8 @@
         self.within_slots()
     }
 
-    fn resolve(&mut self, woken: Vec<Woken>) -> bool {
-        for Woken { ticket, resolution } in woken {
+    fn resolve(&mut self, woken: Vec<ResolvedTicket>) -> bool {
+        for ResolvedTicket { ticket, resolution } in woken {
             let Some(index) = self.tickets.iter().position(|known| *known == ticket) else {
                 return false;
             };
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use shallotfork_balance::{Patience, SlotPoolConfig};
+use shallotfork_balance::{PriorWaitEstimator, SlotPoolConfig};
 use shallotfork_events::slog::Logger;
 use shallotfork_exchange::{BodyBudget, ServeControl, TargetLinks};
 use shallotfork_lifecycle::Phase;
-use shallotfork_measure::{Lateness, RateLimits};
+use shallotfork_measure::{RateLimits, SchedulingDelay};
 use shallotfork_quarantine::{FingerprintKey, Quarantine};
 use shallotfork_routes::{Route, RouteName, Splitter};
 use shallotfork_timer::Clock;
@@ -72,7 +72,7 @@
     /// Signalled when a request begins.
     pub begins: Notify,
     /// How late the traffic threads do their work.
-    pub lateness: Mutex<Lateness>,
+    pub lateness: Mutex<SchedulingDelay>,
     /// Rate limits advertised by targets.
     pub rate_limits: Mutex<RateLimits>,
     /// Key for request fingerprints.
@@ -139,7 +139,7 @@
 
     /// A piece of work was done so much later than planned.
     pub fn note_lateness(&self, late: Duration) {
-        lock(&self.lateness).note(late, self.clock.now());
+        lock(&self.lateness).record(late, self.clock.now());
     }
 
     /// Whether callers are told to come here.
@@ -175,15 +175,16 @@
 /// What is known of the deadlines that callers of each route send.
 #[derive(Debug, Default)]
 pub struct Deadlines {
-    by_route: Mutex<HashMap<RouteName, Patience>>,
+    by_route: Mutex<HashMap<RouteName, PriorWaitEstimator>>,
 }
 
 impl Deadlines {
     /// How long a caller with this deadline had waited before it came here, at least.
     pub fn waited(&self, route: &RouteName, deadline: Duration) -> Duration {
         let mut by_route = lock(&self.by_route);
-        let known = by_route.entry(route.clone()).or_insert_with(|| Patience::new(deadline));
-        known.waited(deadline)
+        let known =
+            by_route.entry(route.clone()).or_insert_with(|| PriorWaitEstimator::new(deadline));
+        known.estimate(deadline)
     }
 }
 
--- a/crates/shallotd/src/control/state.rs
+++ b/crates/shallotd/src/control/state.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use shallotfork_measure::ProbePlan;
-use shallotfork_membership::View;
+use shallotfork_measure::ProbeScheduler;
+use shallotfork_membership::MembershipView;
 use shallotfork_platform::Platform;
 use shallotfork_revisions::PullGate;
 use shallotfork_types::{ServiceName, VmId};
@@ -36,7 +36,7 @@
     /// Published lists in force.
     pub lists: RefCell<Lists>,
     /// Which entries are alive.
-    pub view: RefCell<View>,
+    pub view: RefCell<MembershipView>,
     /// Sessions issued here, and sealed ledgers of others.
     pub ledger: RefCell<Ledger>,
     /// Connections to other entries.
@@ -50,7 +50,7 @@
     /// Pools of the services with published targets.
     pub pools: RefCell<BTreeMap<ServiceName, Arc<ServicePool>>>,
     /// When this process may probe which target.
-    pub probes: RefCell<ProbePlan>,
+    pub probes: RefCell<ProbeScheduler>,
     /// The snapshot whose targets the plan knows.
     pub probed: RefCell<Arc<Snapshot>>,
     /// Probes sent so far.
