--- a/crates/balance/src/slots/wake.rs
+++ b/crates/balance/src/slots/wake.rs
@@ -14,9 +14,9 @@
     /// Only this target's slots can have become usable. With hundreds of targets and queued
     /// requests, comparing all of them at each answer takes longer than serving a request.
     pub(super) fn wake_for_target(&mut self, id: &TargetId, now: Mono) -> Vec<ResolvedTicket> {
-        let mut woken = Vec::new();
+        let mut resolved = Vec::new();
         if self.queue.is_empty() || !self.has_open_slot(id, now) {
-            return woken;
+            return resolved;
         }
         for ticket in self.ranked_tickets(now) {
             let Some(request) = self.queue.remove(ticket) else { continue };
@@ -26,12 +26,12 @@
                 self.queue.push(ticket, request);
                 continue;
             };
-            woken.push(ResolvedTicket { ticket, resolution: Resolution::Send(assignment) });
+            resolved.push(ResolvedTicket { ticket, resolution: Resolution::Send(assignment) });
             if !self.has_open_slot(id, now) {
                 break;
             }
         }
-        woken
+        resolved
     }
 
     /// Returns whether this process may send a request to the target now.
@@ -55,7 +55,7 @@
     }
 
     pub(super) fn wake(&mut self, now: Mono) -> Vec<ResolvedTicket> {
-        let mut woken = Vec::new();
+        let mut resolved = Vec::new();
         // Comparing a long queue with every target at each answer would take too long. Once a
         // request finds no slot, later ones for which a slow slot is judged alike are skipped this
         // time: those of the same class that also can, or can't, meet their objective.
@@ -65,7 +65,7 @@
             let key = (request.class.clone(), self.can_meet_objective(&request, now));
             let skip_assignment = request.exclude.is_empty() && unservable.contains(&key);
             if let Some(resolution) = self.resolve(&request, skip_assignment, now) {
-                woken.push(ResolvedTicket { ticket, resolution });
+                resolved.push(ResolvedTicket { ticket, resolution });
                 continue;
             }
             if request.exclude.is_empty() {
@@ -73,7 +73,7 @@
             }
             self.queue.push(ticket, request);
         }
-        woken
+        resolved
     }
 
     fn resolve(
--- a/crates/balance/tests/slots.rs
+++ b/crates/balance/tests/slots.rs
@@ -20,8 +20,8 @@
     load, named_pool, pool, request_at, target,
 };
 
-fn target_of(woken: &ResolvedTicket) -> Option<&str> {
-    match &woken.resolution {
+fn target_of(resolved: &ResolvedTicket) -> Option<&str> {
+    match &resolved.resolution {
         Resolution::Send(assignment) => Some(assignment.target.as_str()),
         Resolution::Shed(_) => None,
     }
@@ -63,9 +63,9 @@
     pool.record_load(&id("a"), load(0, SLOW_PERMILLE), at(1000));
     let ticket = expect_queued(pool.admit(request_at(1001), at(1001)));
     assert_eq!(pool.due_probes(at(1030)), [id("a")]);
-    let woken = pool.record_load(&id("a"), load(0, USUAL_PERMILLE), at(1031));
-    assert_eq!(woken.iter().map(|w| w.ticket).collect::<Vec<_>>(), [ticket]);
-    assert_eq!(target_of(&woken[0]), Some("a"));
+    let resolved = pool.record_load(&id("a"), load(0, USUAL_PERMILLE), at(1031));
+    assert_eq!(resolved.iter().map(|w| w.ticket).collect::<Vec<_>>(), [ticket]);
+    assert_eq!(target_of(&resolved[0]), Some("a"));
 }
 
 /// Guards against leaving a slot idle if the slow phase outlasts the waiting time of a request: a
@@ -78,8 +78,8 @@
     expect_queued(pool.admit(request_at(1001), at(1001)));
     pool.record_load(&id("a"), load(0, SLOW_PERMILLE), at(1050));
     let due = pool.next_expiry(at(1050)).unwrap();
-    let woken = pool.expire(due);
-    assert_eq!(target_of(&woken[0]), Some("a"));
+    let resolved = pool.expire(due);
+    assert_eq!(target_of(&resolved[0]), Some("a"));
 }
 
 /// Guards against keeping requests until their deadline under twice the load that can be served. A
@@ -117,9 +117,9 @@
     };
     expect_queued(pool.admit(patient_request(false), at(now)));
     let resubmitted = expect_queued(pool.admit(patient_request(true), at(now + 1)));
-    let woken =
+    let resolved =
         pool.finish(running[0].attempt, answered(), Some(load(2, USUAL_PERMILLE)), at(now + 2));
-    assert_eq!(woken.iter().map(|woken| woken.ticket).collect::<Vec<_>>(), [resubmitted]);
+    assert_eq!(resolved.iter().map(|resolved| resolved.ticket).collect::<Vec<_>>(), [resubmitted]);
 }
 
 #[test]
@@ -231,7 +231,7 @@
     fn step(&mut self, action: u8, gap_ms: u8) -> bool {
         self.now_ms += u64::from(gap_ms);
         let now = at(self.now_ms);
-        let woken = match action % 6 {
+        let resolved = match action % 6 {
             0..=2 => return self.admit(),
             3 => {
                 let Some(ended) = self.in_flight.pop() else { return true };
@@ -245,7 +245,7 @@
             ),
             _ => self.pool.expire(now),
         };
-        self.resolve(woken)
+        self.resolve(resolved)
     }
 
     fn admit(&mut self) -> bool {
@@ -257,8 +257,8 @@
         self.within_slots()
     }
 
-    fn resolve(&mut self, woken: Vec<ResolvedTicket>) -> bool {
-        for ResolvedTicket { ticket, resolution } in woken {
+    fn resolve(&mut self, resolved: Vec<ResolvedTicket>) -> bool {
+        for ResolvedTicket { ticket, resolution } in resolved {
             let Some(index) = self.tickets.iter().position(|known| *known == ticket) else {
                 return false;
             };
@@ -330,7 +330,7 @@
     }
     let ticket = expect_queued(pool.admit(request_at(1000), at(1000)));
     assert_eq!(pool.expire(at(1150)), []);
-    let woken =
+    let resolved =
         pool.finish(running[0].attempt, answered(), Some(load(2, USUAL_PERMILLE)), at(1160));
-    assert_eq!(woken.iter().map(|woken| woken.ticket).collect::<Vec<_>>(), [ticket]);
+    assert_eq!(resolved.iter().map(|resolved| resolved.ticket).collect::<Vec<_>>(), [ticket]);
 }
