--- a/crates/fleet/src/active.rs
+++ b/crates/fleet/src/advertised.rs
@@ -4,7 +4,7 @@
 
 use shallotfork_types::{Endpoint, FailureDomain, PerSecond, Region, VmId};
 
-use crate::order::Candidate;
+use crate::ranking::Candidate;
 
 /// Requests a second that a target brings to its entry, in bursts too.
 const REQUESTS_PER_TARGET: u64 = 6;
--- a/crates/fleet/src/contacts.rs
+++ b/crates/fleet/src/contacts.rs
@@ -4,8 +4,8 @@
 
 use shallotfork_types::VmId;
 
-use crate::order::Candidate;
-use crate::pace::{FAR_PERIODS, near_periods};
+use crate::intervals::{FAR_PERIODS, near_periods};
+use crate::ranking::Candidate;
 
 /// Entries at the head of a failure domain that all others there exchange heartbeats with: those
 /// that callers use first, and those that would follow them.
--- a/crates/fleet/src/heads.rs
+++ b/crates/fleet/src/core_entries.rs
@@ -4,7 +4,7 @@
 
 use shallotfork_types::{FailureDomain, VmId};
 
-use crate::order::Candidate;
+use crate::ranking::Candidate;
 
 /// Entries of a failure domain that the whole fleet knows, at least. Half of a fleet can be lost at
 /// once; that all of these are among them is then as good as impossible.
--- a/crates/fleet/src/outreach.rs
+++ b/crates/fleet/src/discovery.rs
@@ -8,8 +8,8 @@
 use shallotfork_membership::{EntryState, EntryVm};
 use shallotfork_types::{Endpoint, FailureDomain};
 
-use crate::beliefs::FleetView;
-use crate::order::{Candidate, fleet_order};
+use crate::fleet_view::FleetView;
+use crate::ranking::{Candidate, fleet_order};
 
 /// One seed, whom an entry that has just started asks first. Were each to call all seeds, a common
 /// start of hundreds would keep these busy for a second.
--- a/crates/fleet/src/beliefs.rs
+++ b/crates/fleet/src/fleet_view.rs
@@ -7,12 +7,12 @@
 use shallotfork_membership::{Announcement, EntryState, EntryVm};
 use shallotfork_types::{Endpoint, ListsDigest, Mono, VmId, rendezvous_weight};
 
-use crate::active::{AdvertisedEntry, active_entries};
+use crate::advertised::{AdvertisedEntry, active_entries};
 use crate::contacts::{Contacts, Standing, contacts};
-use crate::heads::heads;
-use crate::helpers::with_helpers;
-use crate::order::{Candidate, fleet_order};
-use crate::pace::propagation_delay;
+use crate::core_entries::heads;
+use crate::intervals::propagation_delay;
+use crate::overflow::with_helpers;
+use crate::ranking::{Candidate, fleet_order};
 use crate::readers::{choose_readers, may_have_to_read};
 
 /// What is known of the fleet at one moment.
--- a/crates/fleet/src/beat.rs
+++ b/crates/fleet/src/heartbeat.rs
@@ -3,7 +3,7 @@
 use shallotfork_membership::{Announcement, MemberUpdate};
 use shallotfork_types::ListsDigest;
 
-use crate::sight::PlatformAges;
+use crate::platform_availability::PlatformAges;
 
 /// What an entry says of itself and of others.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -3,30 +3,30 @@
 //!
 //! Pure decisions, which every entry makes by itself from what it knows of the others.
 
-mod active;
-mod beat;
-mod beliefs;
+mod advertised;
 mod contacts;
-mod heads;
-mod helpers;
+mod core_entries;
+mod core_sync;
+mod discovery;
+mod fleet_view;
+mod heartbeat;
+mod intervals;
 mod member;
-mod order;
-mod outreach;
-mod pace;
+mod overflow;
+mod platform_availability;
+mod ranking;
 mod readers;
-mod sight;
-mod told;
-mod words;
+mod reported_states;
 
-pub use active::{AdvertisedEntry, Regions, active_entries, endpoints_for_caller};
-pub use beat::FleetHeartbeat;
-pub use beliefs::FleetView;
+pub use advertised::{AdvertisedEntry, Regions, active_entries, endpoints_for_caller};
 pub use contacts::{Contacts, Standing, contacts};
-pub use heads::heads;
-pub use helpers::with_helpers;
+pub use core_entries::heads;
+pub use discovery::choose_initial_seed;
+pub use fleet_view::FleetView;
+pub use heartbeat::FleetHeartbeat;
+pub use intervals::{HEARTBEAT_PERIOD, near_periods, propagation_delay};
 pub use member::{FleetMember, OwnState};
-pub use order::{Candidate, fleet_order};
-pub use outreach::choose_initial_seed;
-pub use pace::{HEARTBEAT_PERIOD, near_periods, propagation_delay};
+pub use overflow::with_helpers;
+pub use platform_availability::{PlatformAges, PlatformAvailability};
+pub use ranking::{Candidate, fleet_order};
 pub use readers::{choose_readers, may_have_to_read};
-pub use sight::{PlatformAges, PlatformAvailability};
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -8,13 +8,13 @@
 use shallotfork_membership::{Announcement, MemberUpdate, MembershipView, ViewConfig};
 use shallotfork_types::{Endpoint, Mono, VmId};
 
-use crate::beat::FleetHeartbeat;
-use crate::beliefs::{FleetView, Known};
-use crate::outreach::{all_known, some_known};
-use crate::pace::{HEARTBEAT_PERIOD, near_periods};
-use crate::sight::PlatformAvailability;
-use crate::told::Told;
-use crate::words::Words;
+use crate::core_sync::Told;
+use crate::discovery::{all_known, some_known};
+use crate::fleet_view::{FleetView, Known};
+use crate::heartbeat::FleetHeartbeat;
+use crate::intervals::{HEARTBEAT_PERIOD, near_periods};
+use crate::platform_availability::PlatformAvailability;
+use crate::reported_states::Words;
 
 /// Silence after which an entry that is heard at every period is suspected: three heartbeats and the
 /// way.
--- a/crates/fleet/src/helpers.rs
+++ b/crates/fleet/src/overflow.rs
@@ -4,8 +4,8 @@
 
 use shallotfork_types::{FailureDomain, VmId};
 
-use crate::active::{ACTIVE_MAX, carried};
-use crate::order::Candidate;
+use crate::advertised::{ACTIVE_MAX, carried};
+use crate::ranking::Candidate;
 
 /// Entries that are named in addition for each one that is behind. Callers follow an answer after
 /// seconds only, so that one step has to be enough for most bursts.
--- a/crates/fleet/src/words.rs
+++ b/crates/fleet/src/reported_states.rs
@@ -5,7 +5,7 @@
 
 use shallotfork_types::{Mono, VmId};
 
-use crate::beat::FleetHeartbeat;
+use crate::heartbeat::FleetHeartbeat;
 
 /// How long the word of an entry counts that it knows no routes yet. It takes it back to those whom
 /// it calls, not to all that have heard it; without an end, some of these would leave it out for
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -7,8 +7,8 @@
 mod entry_vm;
 mod group;
 mod heartbeats;
-mod leniency;
 mod member;
+mod silence_allowance;
 mod view;
 mod view_config;
 
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -4,7 +4,7 @@
 
 use shallotfork_types::{Incarnation, Mono};
 
-use crate::leniency::Leniency;
+use crate::silence_allowance::Leniency;
 use crate::{Announcement, EntryState, EntryVm, ListedVm, MemberUpdate};
 
 #[derive(Debug)]
