--- a/crates/fleet/src/advertised.rs
+++ b/crates/fleet/src/advertised.rs
@@ -1,4 +1,4 @@
-//! Which entries callers are sent to.
+//! Selection of the entries that are advertised to callers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,45 +6,50 @@
 
 use crate::ranking::Candidate;
 
-/// Requests a second that a target brings to its entry, in bursts too.
-const REQUESTS_PER_TARGET: u64 = 6;
-/// Part of that load which is enough to go without weaker entries, as a divisor. Callers choose
-/// among the entries near them with equal chances, so that the weakest of these decides how much all
-/// of them carry: two strong entries with half of the processor to spare beat two strong and ten
-/// weak ones.
-const ENOUGH_DIVISOR: u64 = 2;
-/// An entry that is this many times as strong as another is not named beside it to callers of other
+/// Requests per second that each target adds to the load of the entries, including bursts.
+const REQUESTS_PER_S_PER_TARGET: u64 = 6;
+/// Divisor of the total load: entries of lower capacity are left out once the others carry the
+/// total load divided by this.
+///
+/// Callers choose among the entries near them with equal probability, so the entry with the lowest
+/// capacity limits what all of them carry together. Two large entries with half of their processor
+/// time to spare carry more than two large and ten small ones.
+const SUFFICIENT_LOAD_DIVISOR: u64 = 2;
+/// Largest ratio between the capacities of entries that are advertised together to callers of other
 /// failure domains.
-const ALIKE_FACTOR: u32 = 2;
-/// Entries of one failure domain that callers are sent to at most; the platform's callers read no
-/// more addresses in an answer.
-pub(crate) const ACTIVE_MAX: usize = 64;
+const SIMILAR_CAPACITY_FACTOR: u32 = 2;
+/// Maximum number of advertised entries per failure domain. The platform's callers read no more
+/// addresses from one response.
+pub(crate) const ADVERTISED_MAX: usize = 64;
 
-/// An entry that callers are sent to.
+/// An entry that is advertised to callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdvertisedEntry {
-    /// Its name.
+    /// Name of the entry VM.
     pub vm: VmId,
-    /// Where it stands.
+    /// Failure domain of the entry VM.
     pub failure_domain: FailureDomain,
-    /// Where callers reach it.
+    /// Endpoint for callers.
     pub callers: Endpoint,
-    /// Requests a second that it could carry.
+    /// Number of requests per second that the entry can carry.
     pub capacity: PerSecond,
 }
 
-/// Which failure domains stand in which region.
+/// Region of each failure domain.
 pub type Regions = BTreeMap<FailureDomain, Region>;
 
-/// Where a caller in a failure domain is sent: to the entries of its region if they are about equally
-/// strong, else to those of its failure domain, and to all if there are none or the caller does not
-/// say where it stands.
+/// Returns the endpoints that a caller in a failure domain should connect to.
+///
+/// These are the advertised entries of the caller's region if their capacities are similar,
+/// otherwise those of its failure domain. If there are none, or the caller does not state its
+/// failure domain, all advertised entries are returned.
 ///
-/// A caller chooses one of several addresses by chance, and another one at once when that one fails.
-/// With one address, of an entry that is killed, all callers of a failure domain wait until they may
-/// ask for a new one. A weak entry would get as many callers as a strong one, though.
+/// A caller picks one of several addresses at random and tries another one at once when that one
+/// fails. With a single address, all callers of a failure domain would have to wait after a crash
+/// of that entry until they may request a new address. Entries of different capacity are not mixed,
+/// since a small one would get as many callers as a large one.
 pub fn endpoints_for_caller(
-    active: &[AdvertisedEntry],
+    advertised: &[AdvertisedEntry],
     regions: &Regions,
     domain: Option<&FailureDomain>,
 ) -> Vec<Endpoint> {
@@ -52,70 +57,79 @@
     let in_region =
         |entry: &&AdvertisedEntry| region.is_some() && regions.get(&entry.failure_domain) == region;
     let in_domain = |entry: &&AdvertisedEntry| domain == Some(&entry.failure_domain);
-    let addresses = |entries: &[&AdvertisedEntry]| {
-        entries.iter().take(ACTIVE_MAX).map(|entry| entry.callers).collect()
+    let endpoints = |entries: &[&AdvertisedEntry]| {
+        entries.iter().take(ADVERTISED_MAX).map(|entry| entry.callers).collect()
     };
-    let of_region: Vec<&AdvertisedEntry> = active.iter().filter(in_region).collect();
-    if !of_region.is_empty() && are_alike(&of_region) {
-        return addresses(&of_region);
+    let of_region: Vec<&AdvertisedEntry> = advertised.iter().filter(in_region).collect();
+    if !of_region.is_empty() && have_similar_capacity(&of_region) {
+        return endpoints(&of_region);
     }
-    let of_domain: Vec<&AdvertisedEntry> = active.iter().filter(in_domain).collect();
+    let of_domain: Vec<&AdvertisedEntry> = advertised.iter().filter(in_domain).collect();
     if !of_domain.is_empty() {
-        return addresses(&of_domain);
+        return endpoints(&of_domain);
     }
-    addresses(&active.iter().collect::<Vec<_>>())
+    endpoints(&advertised.iter().collect::<Vec<_>>())
 }
 
-/// Whether none of the entries is more than twice as strong as another.
-fn are_alike(entries: &[&AdvertisedEntry]) -> bool {
-    let strengths = || entries.iter().map(|entry| entry.capacity.value());
-    strengths().max() <= strengths().min().map(|weakest| weakest.saturating_mul(ALIKE_FACTOR))
+/// Returns whether no entry has more than twice the capacity of another one.
+fn have_similar_capacity(entries: &[&AdvertisedEntry]) -> bool {
+    let capacities = || entries.iter().map(|entry| entry.capacity.value());
+    capacities().max()
+        <= capacities().min().map(|lowest| lowest.saturating_mul(SIMILAR_CAPACITY_FACTOR))
 }
 
-/// The entries that callers are sent to, of those in the order of
-/// [`fleet_order`](crate::fleet_order), and in that order.
+/// Selects the entries to advertise to callers from a ranking made by
+/// [`rank_entries`](crate::rank_entries), and keeps their order.
+///
+/// Each failure domain with large entries advertises as few of them as can carry its share of the
+/// load, for the callers in that domain. Requests then leave the failure domain only when a target
+/// elsewhere is better, and an entry that sees all requests of a domain makes the best use of its
+/// slots.
 ///
-/// In each failure domain that has strong ones as few as can carry its part of the load, for the
-/// callers who stand there. A request then crosses to another failure domain only when a target
-/// there is better for it, and a process that sees all requests of a place fills the slots there
-/// best. One entry for the whole fleet would be as good at that, but every caller of the other
-/// failure domains, and two of three requests to targets, would cross; and it would carry the bursts
-/// of all of them with the processor time of one VM, which on VMs of a fifth of a core it can't:
-/// what comes then is answered too late, is asked again, and nobody is served for long after the
-/// burst has ended.
+/// A single entry for the whole fleet would use slots equally well, but all callers in the other
+/// failure domains and two of three requests to targets would cross domains. That entry would also
+/// have to absorb every burst with the processor time of one VM. A VM with a fifth of a core can't:
+/// responses come too late, callers repeat their requests, and the overload outlasts the burst by a
+/// long time.
 ///
-/// Weak VMs are not named beside strong ones unless these do not suffice: the stop of the strong
-/// entries of a fleet would send as many callers to a VM with a fraction of their processor and link.
-pub fn active_entries(targets: usize, order: &[Candidate]) -> Vec<Candidate> {
-    let wanted = targets as u64 * REQUESTS_PER_TARGET;
-    let least = least_strength(wanted, order);
-    let strong: Vec<&Candidate> = order.iter().filter(|entry| capacity(entry) >= least).collect();
+/// Small VMs are advertised together with large ones only if the large ones do not suffice.
+/// Otherwise, when the large entries of a fleet stop, a VM with a fraction of their processor time
+/// and bandwidth would receive as many callers as they did.
+pub fn select_advertised_entries(target_count: usize, ranking: &[Candidate]) -> Vec<Candidate> {
+    let load = target_count as u64 * REQUESTS_PER_S_PER_TARGET;
+    let min_capacity = min_capacity(load, ranking);
+    let eligible: Vec<&Candidate> =
+        ranking.iter().filter(|entry| capacity(entry) >= min_capacity).collect();
     let domains: BTreeSet<&FailureDomain> =
-        strong.iter().map(|entry| &entry.failure_domain).collect();
-    let part = wanted / domains.len().max(1) as u64;
-    let mut chosen: BTreeSet<&VmId> = BTreeSet::new();
+        eligible.iter().map(|entry| &entry.failure_domain).collect();
+    let share = load / domains.len().max(1) as u64;
+    let mut selected: BTreeSet<&VmId> = BTreeSet::new();
     for domain in domains {
-        let here = strong.iter().filter(|entry| entry.failure_domain == *domain);
-        let here: Vec<&Candidate> = here.take(ACTIVE_MAX).copied().collect();
-        let enough = (1..=here.len()).find(|count| carried(*count, &here) >= part);
-        chosen.extend(here.iter().take(enough.unwrap_or(here.len())).map(|entry| &entry.vm));
+        let local = eligible.iter().filter(|entry| entry.failure_domain == *domain);
+        let local: Vec<&Candidate> = local.take(ADVERTISED_MAX).copied().collect();
+        let sufficient = (1..=local.len()).find(|count| total_capacity(*count, &local) >= share);
+        selected
+            .extend(local.iter().take(sufficient.unwrap_or(local.len())).map(|entry| &entry.vm));
     }
-    order.iter().filter(|entry| chosen.contains(&entry.vm)).cloned().collect()
+    ranking.iter().filter(|entry| selected.contains(&entry.vm)).cloned().collect()
 }
 
-/// How strong an entry has to be to be named: half as strong as the weakest of the fewest that carry
-/// enough of the load.
-fn least_strength(wanted: u64, order: &[Candidate]) -> u64 {
-    let order: Vec<&Candidate> = order.iter().collect();
-    let counts = || 1..=order.len();
-    let fewest = counts().find(|count| carried(*count, &order) >= wanted / ENOUGH_DIVISOR);
-    let fewest = fewest.or_else(|| counts().max_by_key(|count| carried(*count, &order)));
-    fewest.map_or(0, |count| capacity(order[count - 1]) / 2)
+/// Returns the capacity that an entry needs to be advertised: half of the lowest capacity among the
+/// smallest set of leading entries that carries a sufficient part of the load.
+fn min_capacity(load: u64, ranking: &[Candidate]) -> u64 {
+    let ranking: Vec<&Candidate> = ranking.iter().collect();
+    let counts = || 1..=ranking.len();
+    let smallest =
+        counts().find(|count| total_capacity(*count, &ranking) >= load / SUFFICIENT_LOAD_DIVISOR);
+    let smallest =
+        smallest.or_else(|| counts().max_by_key(|count| total_capacity(*count, &ranking)));
+    smallest.map_or(0, |count| capacity(ranking[count - 1]) / 2)
 }
 
-/// What the first entries carry together, when each gets as many requests as the weakest.
-pub(crate) fn carried(count: usize, order: &[&Candidate]) -> u64 {
-    count as u64 * capacity(order[count - 1])
+/// Returns what the first `count` entries carry together if each receives as many requests as the
+/// one with the lowest capacity.
+pub(crate) fn total_capacity(count: usize, ranking: &[&Candidate]) -> u64 {
+    count as u64 * capacity(ranking[count - 1])
 }
 
 fn capacity(entry: &Candidate) -> u64 {
--- a/crates/fleet/src/contacts.rs
+++ b/crates/fleet/src/contacts.rs
@@ -1,116 +1,125 @@
-//! Whom an entry exchanges heartbeats with, and how often.
+//! Selection of the entries that an entry exchanges heartbeats with, and of the intervals.
 
 use std::collections::BTreeSet;
 
 use shallotfork_types::VmId;
 
-use crate::intervals::{FAR_PERIODS, near_periods};
+use crate::intervals::{REMOTE_INTERVAL_PERIODS, local_interval_periods};
 use crate::ranking::Candidate;
 
-/// Entries at the head of a failure domain that all others there exchange heartbeats with: those
-/// that callers use first, and those that would follow them.
-const FIRST_HERE: usize = 3;
-/// Entries after it, of those that callers are sent to in its failure domain, that such an entry
-/// watches. Where there are many of these, each is so watched by two, though none watches all.
-const WATCHED_AFTER: usize = 2;
+/// Number of leading entries of a failure domain, with which all others there exchange heartbeats:
+/// the ones that callers use first and their successors.
+const LEADING_ENTRIES: usize = 3;
+/// Number of advertised entries of its failure domain that an advertised entry monitors: those that
+/// rank next after it. Where many are advertised, each is monitored by two entries, and none has to
+/// monitor all.
+const MONITORED_SUCCESSORS: usize = 2;
 
-/// Where an entry stands in its fleet, as far as it knows.
+/// Position of an entry in its fleet, according to its own view.
 #[derive(Debug)]
-pub struct Standing<'a> {
-    /// This entry.
+pub struct FleetPosition<'a> {
+    /// The entry itself.
     pub own: &'a Candidate,
-    /// Live entries, best first; this one among them once it serves.
-    pub order: &'a [Candidate],
+    /// Live entries, best first. Includes the entry itself once it serves.
+    pub ranking: &'a [Candidate],
     /// Entries that read the platform.
     pub readers: &'a [VmId],
-    /// Entries that callers are sent to.
-    pub named: &'a BTreeSet<VmId>,
-    /// Whether this entry may have to read in place of readers that are turned away.
-    pub may_have_to_read: bool,
-    /// Live entries of its failure domain.
+    /// Entries that are advertised to callers.
+    pub advertised: &'a BTreeSet<VmId>,
+    /// Whether the entry may have to replace a reader that is disconnected from the platform.
+    pub may_become_reader: bool,
+    /// Number of live entries in the failure domain of the entry.
     pub domain_entries: usize,
 }
 
-/// Whom an entry exchanges heartbeats with.
+/// The entries that an entry exchanges heartbeats with.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Contacts {
-    /// Those whose silence it notices itself.
-    pub watched: Vec<VmId>,
-    /// Periods between two heartbeats to each of these.
-    pub watched_periods: u32,
-    /// Entries of other failure domains, of which one in turn is called.
-    pub in_turn: Vec<VmId>,
-    /// Periods between two heartbeats to one of these.
-    pub in_turn_periods: u32,
-    /// Whether others hear of changes from this entry, so that it passes on what it hears.
-    pub relays: bool,
-    /// Whether it hears the readers themselves, and not only through others.
+    /// Entries whose silence the entry itself detects.
+    pub monitored: Vec<VmId>,
+    /// Interval between two heartbeats to each monitored entry, in heartbeat periods.
+    pub monitored_interval_periods: u32,
+    /// Entries of other failure domains that are called one at a time, in rotation.
+    pub rotating: Vec<VmId>,
+    /// Interval between two heartbeats to any of the rotating entries, in heartbeat periods.
+    pub rotating_interval_periods: u32,
+    /// Whether other entries receive changes from this one, so that it forwards what it receives.
+    pub forwards_updates: bool,
+    /// Whether the entry exchanges heartbeats with the readers directly and not only through
+    /// others.
     pub monitors_readers: bool,
 }
 
-/// Whom to exchange heartbeats with.
+/// Selects the contacts of an entry.
 ///
-/// The first entry of each failure domain, and the readers, exchange them with each other at every
-/// period, and bring what they hear into their failure domains. There the first few and all that
-/// callers are sent to watch each other at every period. All others call the first few of their own
-/// failure domain only, the less often the more they are, where a heartbeat crosses nothing and costs
-/// little. So what crosses does not grow with the fleet, and what one entry takes is bounded.
-pub fn contacts(standing: &Standing<'_>) -> Contacts {
-    let here = first_here(standing);
-    let is_first = here.first().is_none_or(|first| *first == standing.own.vm);
-    let is_named = standing.named.contains(&standing.own.vm);
-    let reads = standing.readers.contains(&standing.own.vm) || standing.may_have_to_read;
-    let spans = is_first || reads;
-    let in_front = here.contains(&standing.own.vm);
-    let far = far_ones(standing);
-    let mut watched = here;
-    if is_named {
-        watched.extend(named_after(standing));
+/// The first entry of each failure domain and the readers exchange heartbeats with each other in
+/// every period and forward what they receive within their failure domains. There, the leading and
+/// the advertised entries monitor each other in every period. All other entries call only the
+/// leading ones of their own failure domain, where a heartbeat crosses no domain and costs little.
+/// The more of them there are, the less often each calls. The traffic between failure domains
+/// therefore does not grow with the fleet, and the number of heartbeats that one entry receives is
+/// bounded.
+pub fn select_contacts(position: &FleetPosition<'_>) -> Contacts {
+    let leading = leading_entries(position);
+    let is_first = leading.first().is_none_or(|first| *first == position.own.vm);
+    let is_advertised = position.advertised.contains(&position.own.vm);
+    let reads = position.readers.contains(&position.own.vm) || position.may_become_reader;
+    let connects_domains = is_first || reads;
+    let is_leading = leading.contains(&position.own.vm);
+    let remote = remote_contacts(position);
+    let mut monitored = leading;
+    if is_advertised {
+        monitored.extend(advertised_successors(position));
     }
-    if spans {
-        watched.extend(far.iter().cloned());
+    if connects_domains {
+        monitored.extend(remote.iter().cloned());
     }
-    let mut seen: BTreeSet<VmId> = BTreeSet::from([standing.own.vm.clone()]);
-    watched.retain(|vm| seen.insert(vm.clone()));
-    let is_busy = spans || is_named || in_front;
+    let mut seen: BTreeSet<VmId> = BTreeSet::from([position.own.vm.clone()]);
+    monitored.retain(|vm| seen.insert(vm.clone()));
+    let calls_every_period = connects_domains || is_advertised || is_leading;
     Contacts {
-        watched,
-        watched_periods: if is_busy { 1 } else { near_periods(standing.domain_entries) },
-        in_turn: if is_busy && !spans { far } else { Vec::new() },
-        in_turn_periods: FAR_PERIODS,
-        relays: is_busy,
-        monitors_readers: spans,
+        monitored,
+        monitored_interval_periods: if calls_every_period {
+            1
+        } else {
+            local_interval_periods(position.domain_entries)
+        },
+        rotating: if calls_every_period && !connects_domains { remote } else { Vec::new() },
+        rotating_interval_periods: REMOTE_INTERVAL_PERIODS,
+        forwards_updates: calls_every_period,
+        monitors_readers: connects_domains,
     }
 }
 
-/// The first ones of the own failure domain, this entry perhaps among them.
-fn first_here(standing: &Standing<'_>) -> Vec<VmId> {
-    let domain = &standing.own.failure_domain;
-    let here = standing.order.iter().filter(|entry| entry.failure_domain == *domain);
-    here.take(FIRST_HERE).map(|entry| entry.vm.clone()).collect()
+/// Returns the leading entries of this entry's failure domain, which may include this entry.
+fn leading_entries(position: &FleetPosition<'_>) -> Vec<VmId> {
+    let domain = &position.own.failure_domain;
+    let local = position.ranking.iter().filter(|entry| entry.failure_domain == *domain);
+    local.take(LEADING_ENTRIES).map(|entry| entry.vm.clone()).collect()
 }
 
-/// Those that follow this entry among the ones that callers of its failure domain are sent to; after
-/// the last comes the first.
-fn named_after(standing: &Standing<'_>) -> Vec<VmId> {
-    let domain = &standing.own.failure_domain;
-    let named = standing
-        .order
+/// Returns the entries that rank next after this one among the advertised entries of its failure
+/// domain, wrapping around from the last to the first.
+fn advertised_successors(position: &FleetPosition<'_>) -> Vec<VmId> {
+    let domain = &position.own.failure_domain;
+    let advertised = position
+        .ranking
         .iter()
-        .filter(|entry| entry.failure_domain == *domain && standing.named.contains(&entry.vm));
-    let named: Vec<&VmId> = named.map(|entry| &entry.vm).collect();
-    let own = named.iter().position(|vm| **vm == standing.own.vm);
-    let after = own.map_or(0, |own| own + 1);
-    let ring = named.iter().cycle().skip(after).take(WATCHED_AFTER.min(named.len()));
-    ring.map(|vm| (*vm).clone()).collect()
+        .filter(|entry| entry.failure_domain == *domain && position.advertised.contains(&entry.vm));
+    let advertised: Vec<&VmId> = advertised.map(|entry| &entry.vm).collect();
+    let own_index = advertised.iter().position(|vm| **vm == position.own.vm);
+    let next_index = own_index.map_or(0, |own_index| own_index + 1);
+    let successors =
+        advertised.iter().cycle().skip(next_index).take(MONITORED_SUCCESSORS.min(advertised.len()));
+    successors.map(|vm| (*vm).clone()).collect()
 }
 
-/// The readers, and the first entry of each other failure domain.
-fn far_ones(standing: &Standing<'_>) -> Vec<VmId> {
-    let mut domains = BTreeSet::from([&standing.own.failure_domain]);
-    let firsts = standing.order.iter().filter(|entry| domains.insert(&entry.failure_domain));
+/// Returns the readers and the first entry of each other failure domain.
+fn remote_contacts(position: &FleetPosition<'_>) -> Vec<VmId> {
+    let mut domains = BTreeSet::from([&position.own.failure_domain]);
+    let firsts = position.ranking.iter().filter(|entry| domains.insert(&entry.failure_domain));
     let firsts: Vec<VmId> = firsts.map(|entry| entry.vm.clone()).collect();
-    let mut seen = BTreeSet::from([&standing.own.vm]);
-    let all = standing.readers.iter().chain(&firsts).filter(|vm| seen.insert(vm));
+    let mut seen = BTreeSet::from([&position.own.vm]);
+    let all = position.readers.iter().chain(&firsts).filter(|vm| seen.insert(vm));
     all.cloned().collect()
 }
--- a/crates/fleet/src/core_entries.rs
+++ b/crates/fleet/src/core_entries.rs
@@ -1,4 +1,4 @@
-//! The entries of which all others have to know.
+//! Selection of the core entries: those that every entry of the fleet knows.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,39 +6,40 @@
 
 use crate::ranking::Candidate;
 
-/// Entries of a failure domain that the whole fleet knows, at least. Half of a fleet can be lost at
-/// once; that all of these are among them is then as good as impossible.
-const HEADS_MIN: usize = 12;
-/// Entries that the whole fleet knows beside those that callers are sent to, so that the next ones in
-/// turn are known when some of these are lost.
-const SPARE: usize = 3;
+/// Minimum number of core entries per failure domain. Half of a fleet may be lost at once; it is
+/// practically impossible that this includes all of them.
+const CORE_ENTRIES_MIN: usize = 12;
+/// Core entries in addition to the advertised ones, so that their successors are known when some
+/// advertised entries are lost.
+const SPARE_ENTRIES: usize = 3;
 
-/// The first entries of each failure domain, of live ones in the order of
-/// [`fleet_order`](crate::fleet_order), and in that order.
+/// Selects the first entries of each failure domain from a ranking of live entries made by
+/// [`rank_entries`](crate::rank_entries), and keeps their order.
 ///
-/// Whom callers are sent to and who reads follows from these alone. Were all entries told of all
-/// others, the messages at a common start and the time that each takes for an order of them would
-/// grow with the square of the fleet.
-pub fn heads(order: &[Candidate], named: &BTreeSet<VmId>) -> Vec<VmId> {
-    let mut left = wanted(order, named);
-    let first = order.iter().filter(|entry| {
-        let Some(left) = left.get_mut(&entry.failure_domain) else { return false };
-        let takes = *left > 0;
-        *left = left.saturating_sub(1);
-        takes
+/// The advertised entries and the readers follow from the core entries alone. If every entry were
+/// told of all others, the number of messages at a simultaneous start, and the time each entry
+/// takes to rank the others, would grow with the square of the fleet size.
+pub fn select_core_entries(ranking: &[Candidate], advertised: &BTreeSet<VmId>) -> Vec<VmId> {
+    let mut remaining = core_entry_counts(ranking, advertised);
+    let selected = ranking.iter().filter(|entry| {
+        let Some(remaining) = remaining.get_mut(&entry.failure_domain) else { return false };
+        let is_selected = *remaining > 0;
+        *remaining = remaining.saturating_sub(1);
+        is_selected
     });
-    first.map(|entry| entry.vm.clone()).collect()
+    selected.map(|entry| entry.vm.clone()).collect()
 }
 
-/// How many are wanted in each failure domain.
-fn wanted<'a>(
-    order: &'a [Candidate],
-    named: &BTreeSet<VmId>,
+/// Returns the number of core entries to select per failure domain.
+fn core_entry_counts<'a>(
+    ranking: &'a [Candidate],
+    advertised: &BTreeSet<VmId>,
 ) -> BTreeMap<&'a FailureDomain, usize> {
-    let mut wanted: BTreeMap<&FailureDomain, usize> = BTreeMap::new();
-    for entry in order {
-        *wanted.entry(&entry.failure_domain).or_default() += usize::from(named.contains(&entry.vm));
+    let mut counts: BTreeMap<&FailureDomain, usize> = BTreeMap::new();
+    for entry in ranking {
+        *counts.entry(&entry.failure_domain).or_default() +=
+            usize::from(advertised.contains(&entry.vm));
     }
-    wanted.values_mut().for_each(|count| *count = HEADS_MIN.max(*count + SPARE));
-    wanted
+    counts.values_mut().for_each(|count| *count = CORE_ENTRIES_MIN.max(*count + SPARE_ENTRIES));
+    counts
 }
--- a/crates/fleet/src/core_sync.rs
+++ b/crates/fleet/src/core_sync.rs
@@ -1,54 +1,56 @@
-//! What another entry has been told of the heads.
+//! Synchronization of the core entries with one other entry.
 
 use std::time::Duration;
 
 use shallotfork_types::Mono;
 
-/// Of the heartbeats in a row that show other heads, each so many is answered with all news of heads,
-/// in place of what has changed since the last one: an answer may have been lost.
-const RETELL_ALL_EVERY: u32 = 2;
-/// How long a comparison says something; two heartbeats of the largest failure domains.
-const COUNTS_FOR: Duration = Duration::from_millis(2000);
+/// Of consecutive heartbeats with a differing digest, every n-th is answered with all updates about
+/// core entries instead of the changes since the previous answer, which may have been lost.
+const FULL_RESEND_EVERY: u32 = 2;
+/// Time for which a comparison of digests stays valid: two heartbeats of the largest failure
+/// domains.
+const COMPARISON_VALID_FOR: Duration = Duration::from_millis(2000);
 
-/// How far the heads that another entry knows agree with the own ones.
+/// How far the core entries known to another entry agree with those of this entry.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Told {
-    /// The version of the view that it was told last, or had in common.
+pub(crate) struct CoreSync {
+    /// Version of the membership view that was last sent to the other entry or that it agreed with.
     version: u64,
-    /// Its heartbeats in a row that showed other heads.
-    differing: u32,
+    /// Number of consecutive heartbeats of the other entry with a differing digest.
+    mismatches: u32,
     compared_at: Mono,
 }
 
-impl Told {
-    /// Nothing was told yet.
+impl CoreSync {
+    /// Creates the state for an entry to which nothing has been sent yet.
     pub(crate) fn new(now: Mono) -> Self {
-        Self { version: 0, differing: 0, compared_at: now }
+        Self { version: 0, mismatches: 0, compared_at: now }
     }
 
-    /// It has shown which heads it knows.
-    pub(crate) fn compared(&mut self, agrees: bool, version: u64, now: Mono) {
+    /// Records whether the core entries of the other entry agree with those of this entry.
+    pub(crate) fn record_comparison(&mut self, agrees: bool, version: u64, now: Mono) {
         self.compared_at = now;
         if agrees {
-            (self.version, self.differing) = (version, 0);
+            (self.version, self.mismatches) = (version, 0);
         } else {
-            self.differing += 1;
+            self.mismatches += 1;
         }
     }
 
-    /// The version after which changes are due to be told to it, which counts as done; `None` when
-    /// its heads agree, or when that is not known.
-    pub(crate) fn take_due(&mut self, version: u64, now: Mono) -> Option<u64> {
-        if self.differing == 0 || self.is_old(now) {
+    /// Returns the version after which changes are to be sent to the other entry, and records them
+    /// as sent. Returns `None` if the core entries agree or if that is not known.
+    pub(crate) fn take_due_version(&mut self, version: u64, now: Mono) -> Option<u64> {
+        if self.mismatches == 0 || self.is_expired(now) {
             return None;
         }
-        let since = if self.differing.is_multiple_of(RETELL_ALL_EVERY) { 0 } else { self.version };
+        let due_version =
+            if self.mismatches.is_multiple_of(FULL_RESEND_EVERY) { 0 } else { self.version };
         self.version = version;
-        Some(since)
+        Some(due_version)
     }
 
-    /// Whether the last comparison says nothing any more.
-    pub(crate) fn is_old(&self, now: Mono) -> bool {
-        now.since(self.compared_at) > COUNTS_FOR
+    /// Returns whether the last comparison is no longer valid.
+    pub(crate) fn is_expired(&self, now: Mono) -> bool {
+        now.since(self.compared_at) > COMPARISON_VALID_FOR
     }
 }
--- a/crates/fleet/src/discovery.rs
+++ b/crates/fleet/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Whom an entry calls beside those that it exchanges heartbeats with, so that parts of a fleet that
-//! were cut from each other find together again.
+//! Calls to entries beyond the regular contacts, by which the parts of a partitioned fleet find
+//! each other again.
 
 use std::collections::BTreeSet;
 
@@ -9,10 +9,10 @@
 use shallotfork_types::{Endpoint, FailureDomain};
 
 use crate::fleet_view::FleetView;
-use crate::ranking::{Candidate, fleet_order};
+use crate::ranking::{Candidate, rank_entries};
 
-/// One seed, whom an entry that has just started asks first. Were each to call all seeds, a common
-/// start of hundreds would keep these busy for a second.
+/// Chooses the one seed that an entry calls first after its start. If each entry called all seeds,
+/// a simultaneous start of hundreds would keep the seeds busy for a second.
 pub fn choose_initial_seed(
     seeds: &[Endpoint],
     own: Endpoint,
@@ -21,60 +21,71 @@
     seeds.iter().copied().filter(|seed| *seed != own).choose(rng)
 }
 
-/// Everybody that an entry can call which knows no other live one.
-pub(crate) fn all_known(
-    beliefs: &FleetView,
+/// Returns the endpoints to call for an entry that knows no other live one: all seeds and one known
+/// entry.
+pub(crate) fn calls_when_alone(
+    view: &FleetView,
     seeds: &[Endpoint],
     rng: &mut impl Rng,
 ) -> BTreeSet<Endpoint> {
-    seeds.iter().copied().chain(any_known(beliefs, None, rng)).collect()
+    seeds.iter().copied().chain(random_entry(view, None, rng)).collect()
 }
 
-/// Some entry, and those that are suspected but would come first otherwise: of the whole fleet, and a
-/// seed that is not known to be live, for one that brings what it hears into its failure domain; of its
-/// own failure domain for any other. What crosses then does not grow with the fleet.
-pub(crate) fn some_known(
-    beliefs: &FleetView,
-    here: &FailureDomain,
+/// Returns the endpoints of one random entry and of the suspected entries that would rank first if
+/// they were live.
+///
+/// An entry that forwards state from other failure domains calls entries of the whole fleet, and in
+/// addition a seed that is not known to be live. Any other entry calls only entries of its own
+/// failure domain, so that the traffic between domains does not grow with the fleet.
+pub(crate) fn discovery_calls(
+    view: &FleetView,
+    own_domain: &FailureDomain,
     seeds: &[Endpoint],
     rng: &mut impl Rng,
 ) -> BTreeSet<Endpoint> {
-    let spans = beliefs.contacts.monitors_readers;
-    let place = (!spans).then_some(here);
-    let leaders = suspected_leaders(beliefs, place).into_iter().map(|entry| entry.peers);
-    let seed = if spans { unknown_seed(beliefs, seeds, rng) } else { None };
-    leaders.chain(any_known(beliefs, place, rng)).chain(seed).collect()
+    let connects_domains = view.contacts.monitors_readers;
+    let domain = (!connects_domains).then_some(own_domain);
+    let leading = suspected_leading_entries(view, domain).into_iter().map(|entry| entry.peers);
+    let seed = if connects_domains { random_unknown_seed(view, seeds, rng) } else { None };
+    leading.chain(random_entry(view, domain, rng)).chain(seed).collect()
 }
 
-fn unknown_seed(beliefs: &FleetView, seeds: &[Endpoint], rng: &mut impl Rng) -> Option<Endpoint> {
-    let live = beliefs.order.iter().filter_map(|entry| beliefs.endpoint(&entry.vm));
+fn random_unknown_seed(
+    view: &FleetView,
+    seeds: &[Endpoint],
+    rng: &mut impl Rng,
+) -> Option<Endpoint> {
+    let live = view.ranking.iter().filter_map(|entry| view.endpoint(&entry.vm));
     let live: BTreeSet<Endpoint> = live.collect();
     seeds.iter().copied().filter(|seed| !live.contains(seed)).choose(rng)
 }
 
-fn any_known(
-    beliefs: &FleetView,
-    place: Option<&FailureDomain>,
+fn random_entry(
+    view: &FleetView,
+    domain: Option<&FailureDomain>,
     rng: &mut impl Rng,
 ) -> Option<Endpoint> {
-    let entries = beliefs.entries.values();
-    let here = entries.filter(|entry| place.is_none_or(|place| entry.failure_domain == *place));
-    here.map(|entry| entry.peers).choose(rng)
+    let entries = view.entries.values();
+    let matching =
+        entries.filter(|entry| domain.is_none_or(|domain| entry.failure_domain == *domain));
+    matching.map(|entry| entry.peers).choose(rng)
 }
 
-/// Suspected entries that would come first if they were live, of one failure domain or of all.
+/// Returns the suspected entries that would rank first if they were live, in one failure domain or
+/// in the whole fleet.
 ///
-/// A suspicion that was wrong, or is no longer right, is taken back by a heartbeat; nobody sends
-/// one to an entry that is not in the order. Without this, a part of the fleet can go on sending
-/// callers to another entry than the rest.
-fn suspected_leaders<'a>(
-    beliefs: &'a FleetView,
-    place: Option<&FailureDomain>,
+/// A suspicion that was wrong or is outdated ends with a heartbeat, but no entry sends heartbeats
+/// to one that is not ranked. Without these calls, a part of the fleet could keep advertising other
+/// entries than the rest.
+fn suspected_leading_entries<'a>(
+    view: &'a FleetView,
+    domain: Option<&FailureDomain>,
 ) -> Vec<&'a EntryVm> {
-    let entries = beliefs.entries.values();
-    let here = entries.filter(|entry| place.is_none_or(|place| entry.failure_domain == *place));
-    let order = fleet_order(here.map(Candidate::from).collect());
-    let order = order.iter().filter_map(|entry| beliefs.entries.get(&entry.vm));
-    let leading = order.take_while(|entry| entry.state != EntryState::Live);
+    let entries = view.entries.values();
+    let matching =
+        entries.filter(|entry| domain.is_none_or(|domain| entry.failure_domain == *domain));
+    let ranking = rank_entries(matching.map(Candidate::from).collect());
+    let ranking = ranking.iter().filter_map(|entry| view.entries.get(&entry.vm));
+    let leading = ranking.take_while(|entry| entry.state != EntryState::Live);
     leading.filter(|entry| entry.state == EntryState::Suspected).collect()
 }
--- a/crates/fleet/src/fleet_view.rs
+++ b/crates/fleet/src/fleet_view.rs
@@ -1,5 +1,5 @@
-//! What follows from who is believed to live: the order of entries, who reads, who is named to
-//! callers, and whom this entry exchanges heartbeats with.
+//! The view that an entry has of its fleet: the ranking of the live entries, the readers, the
+//! entries advertised to callers, and the contacts of this entry.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,96 +7,107 @@
 use shallotfork_membership::{Announcement, EntryState, EntryVm};
 use shallotfork_types::{Endpoint, ListsDigest, Mono, VmId, rendezvous_weight};
 
-use crate::advertised::{AdvertisedEntry, active_entries};
-use crate::contacts::{Contacts, Standing, contacts};
-use crate::core_entries::heads;
+use crate::advertised::{AdvertisedEntry, select_advertised_entries};
+use crate::contacts::{Contacts, FleetPosition, select_contacts};
+use crate::core_entries::select_core_entries;
 use crate::intervals::propagation_delay;
-use crate::overflow::with_helpers;
-use crate::ranking::{Candidate, fleet_order};
-use crate::readers::{choose_readers, may_have_to_read};
+use crate::overflow::add_overflow_entries;
+use crate::ranking::{Candidate, rank_entries};
+use crate::readers::{choose_readers, may_become_reader};
 
-/// What is known of the fleet at one moment.
+/// The state from which a view of the fleet is computed.
 #[derive(Debug)]
-pub(crate) struct Known<'a> {
+pub(crate) struct ViewInputs<'a> {
     pub(crate) own: &'a Announcement,
-    /// Every entry, this one among them.
+    /// All known entries, including this one.
     pub(crate) entries: Vec<EntryVm>,
-    /// Entries that know no routes yet, and until when that counts.
-    pub(crate) starting: BTreeMap<VmId, Mono>,
-    /// Other entries whose work waits for the processor, and until when that counts.
-    pub(crate) behind: BTreeMap<VmId, Mono>,
-    /// Whether the work of this entry does.
-    pub(crate) is_behind: bool,
-    /// Entries that the platform turns away.
-    pub(crate) blind: BTreeSet<VmId>,
-    /// Whether this entry can serve.
-    pub(crate) serves: bool,
-    /// Whether it is leaving.
-    pub(crate) leaving: bool,
-    /// How many targets there are.
-    pub(crate) targets: usize,
-    /// Live entries of its failure domain, by the word of the first ones there.
-    pub(crate) told_domain_entries: u32,
+    /// Entries that report that they have no routes yet, with the time at which each report
+    /// expires.
+    pub(crate) starting_until: BTreeMap<VmId, Mono>,
+    /// Other entries that report that they are overloaded, with the time at which each report
+    /// expires.
+    pub(crate) overloaded_until: BTreeMap<VmId, Mono>,
+    /// Whether this entry is overloaded.
+    pub(crate) is_overloaded: bool,
+    /// Entries that are disconnected from the platform.
+    pub(crate) disconnected: BTreeSet<VmId>,
+    /// Whether this entry can serve requests.
+    pub(crate) is_serving: bool,
+    /// Whether this entry is leaving.
+    pub(crate) is_leaving: bool,
+    /// Number of known targets.
+    pub(crate) target_count: usize,
+    /// Number of live entries in the failure domain of this entry, as reported by the leading
+    /// entries there.
+    pub(crate) reported_domain_entries: u32,
 }
 
-/// What this process believes of the fleet.
+/// The view that this process has of the fleet.
 #[derive(Debug)]
 pub struct FleetView {
-    /// When an entry counts as started or as no longer behind although it has not said so; `None`
-    /// while none is either.
-    pub(crate) hold_until: Option<Mono>,
-    /// Every entry known.
+    /// Earliest time at which a report that an entry is starting or overloaded expires; `None` if
+    /// there is no such report.
+    pub(crate) valid_until: Option<Mono>,
+    /// All known entries.
     pub entries: BTreeMap<VmId, EntryVm>,
-    /// Live entries, best first, this one unless it is leaving.
-    pub order: Vec<Candidate>,
-    /// Entries that read the platform, for themselves and for all others. Unlike the ones that
-    /// callers are sent to, they may still be starting: somebody has to read first.
+    /// Live entries, best first. Includes this entry unless it is leaving.
+    pub ranking: Vec<Candidate>,
+    /// Entries that read the platform for themselves and for all others. Unlike advertised entries
+    /// they may still be starting, since one of them has to read first.
     pub readers: Vec<VmId>,
-    /// Entries that callers are sent to, best first.
+    /// Entries that are advertised to callers, best first.
     pub advertised: Vec<AdvertisedEntry>,
     /// Entries that the whole fleet knows.
     pub core_entries: BTreeSet<VmId>,
-    /// Differs between two entries that know other heads.
-    pub digest: ListsDigest,
-    /// Whom this entry exchanges heartbeats with.
+    /// Digest of the core entries. Two entries that know different core entries have different
+    /// digests.
+    pub core_digest: ListsDigest,
+    /// Entries that this entry exchanges heartbeats with.
     pub contacts: Contacts,
-    /// Live entries of the own failure domain.
+    /// Number of live entries in the failure domain of this entry.
     pub domain_entries: u32,
 }
 
 impl FleetView {
-    pub(crate) fn new(known: Known<'_>) -> Self {
-        let own = &known.own.listed.vm;
-        let order = live_order(&known);
-        let serves =
-            |vm: &VmId| if vm == own { known.serves } else { !known.starting.contains_key(vm) };
+    pub(crate) fn new(inputs: ViewInputs<'_>) -> Self {
+        let own = &inputs.own.listed.vm;
+        let ranking = live_ranking(&inputs);
+        let is_serving = |vm: &VmId| {
+            if vm == own { inputs.is_serving } else { !inputs.starting_until.contains_key(vm) }
+        };
         let serving: Vec<Candidate> =
-            order.iter().filter(|entry| serves(&entry.vm)).cloned().collect();
+            ranking.iter().filter(|entry| is_serving(&entry.vm)).cloned().collect();
         let entries: BTreeMap<VmId, EntryVm> =
-            known.entries.iter().map(|entry| (entry.vm.clone(), entry.clone())).collect();
-        let usual = active_entries(known.targets, &serving);
-        let usual_names: BTreeSet<VmId> = usual.iter().map(|entry| entry.vm.clone()).collect();
-        let own_behind = known.is_behind.then_some(own);
-        let behind: BTreeSet<VmId> = known.behind.keys().chain(own_behind).cloned().collect();
-        let advertised = named(&entries, &with_helpers(&usual, &serving, &behind));
-        let names: Vec<VmId> = order.iter().map(|entry| entry.vm.clone()).collect();
-        let readers = choose_readers(&names, &known.blind);
-        let core_entries = heads(&order, &usual_names);
-        let domain_entries = domain_entries(&known, &order);
-        let contacts = contacts(&Standing {
-            own: &candidate(known.own),
-            order: &order,
+            inputs.entries.iter().map(|entry| (entry.vm.clone(), entry.clone())).collect();
+        let usual = select_advertised_entries(inputs.target_count, &serving);
+        let usual_vms: BTreeSet<VmId> = usual.iter().map(|entry| entry.vm.clone()).collect();
+        let own_overloaded = inputs.is_overloaded.then_some(own);
+        let overloaded: BTreeSet<VmId> =
+            inputs.overloaded_until.keys().chain(own_overloaded).cloned().collect();
+        let advertised =
+            advertised_entries(&entries, &add_overflow_entries(&usual, &serving, &overloaded));
+        let ranked_vms: Vec<VmId> = ranking.iter().map(|entry| entry.vm.clone()).collect();
+        let readers = choose_readers(&ranked_vms, &inputs.disconnected);
+        let core_entries = select_core_entries(&ranking, &usual_vms);
+        let domain_entries = domain_entries(&inputs, &ranking);
+        let contacts = select_contacts(&FleetPosition {
+            own: &candidate(inputs.own),
+            ranking: &ranking,
             readers: &readers,
-            named: &usual_names,
-            may_have_to_read: may_have_to_read(own, &names, &known.blind),
+            advertised: &usual_vms,
+            may_become_reader: may_become_reader(own, &ranked_vms, &inputs.disconnected),
             domain_entries: domain_entries as usize,
         });
         Self {
-            hold_until: known.starting.into_values().chain(known.behind.into_values()).min(),
-            digest: digest(&core_entries),
+            valid_until: inputs
+                .starting_until
+                .into_values()
+                .chain(inputs.overloaded_until.into_values())
+                .min(),
+            core_digest: core_digest(&core_entries),
             core_entries: core_entries.into_iter().collect(),
             entries,
-            order,
+            ranking,
             readers,
             advertised,
             contacts,
@@ -104,55 +115,61 @@
         }
     }
 
-    /// Where an entry is called.
+    /// Returns the endpoint at which other entries call an entry.
     pub fn endpoint(&self, vm: &VmId) -> Option<Endpoint> {
         self.entries.get(vm).map(|entry| entry.peers)
     }
 
-    /// Whether no other entry is known to live.
+    /// Returns whether no other live entry is known.
     pub fn is_alone(&self, own: &VmId) -> bool {
-        self.order.iter().all(|entry| entry.vm == *own)
+        self.ranking.iter().all(|entry| entry.vm == *own)
     }
 
-    /// How long a change takes from the first entries of this failure domain to all others there.
+    /// Returns the time that a change takes from the leading entries of this failure domain to all
+    /// others there.
     pub fn propagation_delay(&self) -> Duration {
         propagation_delay(self.domain_entries as usize)
     }
 }
 
-/// Live entries, best first.
-fn live_order(known: &Known<'_>) -> Vec<Candidate> {
-    let own = &known.own.listed.vm;
-    let live = known.entries.iter().filter(|entry| {
-        if entry.vm == *own { !known.leaving } else { entry.state == EntryState::Live }
+/// Ranks the live entries, best first.
+fn live_ranking(inputs: &ViewInputs<'_>) -> Vec<Candidate> {
+    let own = &inputs.own.listed.vm;
+    let live = inputs.entries.iter().filter(|entry| {
+        if entry.vm == *own { !inputs.is_leaving } else { entry.state == EntryState::Live }
     });
-    fleet_order(live.map(Candidate::from).collect())
+    rank_entries(live.map(Candidate::from).collect())
 }
 
-/// Where callers reach the chosen entries.
-fn named(entries: &BTreeMap<VmId, EntryVm>, chosen: &[Candidate]) -> Vec<AdvertisedEntry> {
-    let chosen = chosen.iter().filter_map(|entry| entries.get(&entry.vm));
-    let active = |entry: &EntryVm| AdvertisedEntry {
+/// Adds the caller endpoints to the selected entries.
+fn advertised_entries(
+    entries: &BTreeMap<VmId, EntryVm>,
+    selected: &[Candidate],
+) -> Vec<AdvertisedEntry> {
+    let selected = selected.iter().filter_map(|entry| entries.get(&entry.vm));
+    let advertised = |entry: &EntryVm| AdvertisedEntry {
         vm: entry.vm.clone(),
         failure_domain: entry.failure_domain.clone(),
         callers: entry.callers,
         capacity: entry.capacity,
     };
-    chosen.map(active).collect()
+    selected.map(advertised).collect()
 }
 
-/// The first entries of a failure domain know all others there, and tell these how many they are.
-fn domain_entries(known: &Known<'_>, order: &[Candidate]) -> u32 {
-    let domain = &known.own.listed.failure_domain;
-    let here = order.iter().filter(|entry| entry.failure_domain == *domain).count();
-    u32::try_from(here).unwrap_or(u32::MAX).max(known.told_domain_entries)
+/// Returns the number of live entries in this entry's failure domain. The leading entries there
+/// know all others and report the number to them.
+fn domain_entries(inputs: &ViewInputs<'_>, ranking: &[Candidate]) -> u32 {
+    let domain = &inputs.own.listed.failure_domain;
+    let count = ranking.iter().filter(|entry| entry.failure_domain == *domain).count();
+    u32::try_from(count).unwrap_or(u32::MAX).max(inputs.reported_domain_entries)
 }
 
-/// Of the heads' names alone: whom callers are sent to does not depend on which run of a process is
-/// known, and runs change by hundreds after a common start.
-fn digest(heads: &[VmId]) -> ListsDigest {
-    let weights = heads.iter().map(|vm| rendezvous_weight(vm.as_str(), ""));
-    // Shifted by its place, so that an exchange of places shows.
+/// Computes the digest of the core entries from their names alone. The selection of advertised
+/// entries does not depend on incarnations, and hundreds of these change after a simultaneous
+/// start.
+fn core_digest(core_entries: &[VmId]) -> ListsDigest {
+    let weights = core_entries.iter().map(|vm| rendezvous_weight(vm.as_str(), ""));
+    // The rotation makes the digest depend on the order.
     ListsDigest::new(weights.fold(0, |digest, weight| digest.rotate_left(7) ^ weight))
 }
 
--- a/crates/fleet/src/heartbeat.rs
+++ b/crates/fleet/src/heartbeat.rs
@@ -1,27 +1,27 @@
-//! What entries say to each other at regular intervals.
+//! The periodic message between entries.
 
 use shallotfork_membership::{Announcement, MemberUpdate};
 use shallotfork_types::ListsDigest;
 
 use crate::platform_availability::PlatformAges;
 
-/// What an entry says of itself and of others.
+/// A heartbeat: the state of its sender and what the sender knows of other entries.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FleetHeartbeat {
-    /// Who speaks.
+    /// Announcement of the sender.
     pub from: Announcement,
-    /// Whether it knows no routes yet.
+    /// Whether the sender has no routes yet.
     pub is_starting: bool,
-    /// What it knows of others.
+    /// Membership updates about other entries.
     pub updates: Vec<MemberUpdate>,
-    /// Fingerprint of the heads that it knows.
+    /// Digest of the core entries in the sender's view.
     pub core_digest: ListsDigest,
-    /// Whether the platform turns it away.
+    /// Whether the sender is disconnected from the platform.
     pub is_disconnected: bool,
-    /// What it has seen and heard of the platform.
+    /// What the sender knows of the platform's availability.
     pub platform: PlatformAges,
-    /// Live entries of its failure domain, as far as it knows.
+    /// Number of live entries in the sender's failure domain, as far as it knows.
     pub domain_entries: u32,
-    /// Whether its work waits for the processor, or did so a short while ago.
+    /// Whether the sender is overloaded, or was a short time ago.
     pub is_overloaded: bool,
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,7 +1,8 @@
-//! How the entries of a fleet share work: whom callers are sent to, who reads the platform,
-//! how often heartbeats are exchanged, and whether the platform answers any of them.
+//! How the entries of a fleet share work: which of them are advertised to callers, which read the
+//! platform, how often heartbeats are exchanged, and whether the platform is available.
 //!
-//! Pure decisions, which every entry makes by itself from what it knows of the others.
+//! All decisions are pure functions of the state that an entry holds about the others; each entry
+//! makes them by itself.
 
 mod advertised;
 mod contacts;
@@ -18,15 +19,15 @@
 mod readers;
 mod reported_states;
 
-pub use advertised::{AdvertisedEntry, Regions, active_entries, endpoints_for_caller};
-pub use contacts::{Contacts, Standing, contacts};
-pub use core_entries::heads;
+pub use advertised::{AdvertisedEntry, Regions, endpoints_for_caller, select_advertised_entries};
+pub use contacts::{Contacts, FleetPosition, select_contacts};
+pub use core_entries::select_core_entries;
 pub use discovery::choose_initial_seed;
 pub use fleet_view::FleetView;
 pub use heartbeat::FleetHeartbeat;
-pub use intervals::{HEARTBEAT_PERIOD, near_periods, propagation_delay};
+pub use intervals::{HEARTBEAT_PERIOD, local_interval_periods, propagation_delay};
 pub use member::{FleetMember, OwnState};
-pub use overflow::with_helpers;
+pub use overflow::add_overflow_entries;
 pub use platform_availability::{PlatformAges, PlatformAvailability};
-pub use ranking::{Candidate, fleet_order};
-pub use readers::{choose_readers, may_have_to_read};
+pub use ranking::{Candidate, rank_entries};
+pub use readers::{choose_readers, may_become_reader};
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,5 @@
-//! One entry's part in its fleet: what it knows of the others, says to them, and whom it calls.
+//! An entry as a member of its fleet: its state, the heartbeats that it sends, and the entries that
+//! it calls.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -8,371 +9,395 @@
 use shallotfork_membership::{Announcement, MemberUpdate, MembershipView, ViewConfig};
 use shallotfork_types::{Endpoint, Mono, VmId};
 
-use crate::core_sync::Told;
-use crate::discovery::{all_known, some_known};
-use crate::fleet_view::{FleetView, Known};
+use crate::core_sync::CoreSync;
+use crate::discovery::{calls_when_alone, discovery_calls};
+use crate::fleet_view::{FleetView, ViewInputs};
 use crate::heartbeat::FleetHeartbeat;
-use crate::intervals::{HEARTBEAT_PERIOD, near_periods};
+use crate::intervals::{HEARTBEAT_PERIOD, local_interval_periods};
 use crate::platform_availability::PlatformAvailability;
-use crate::reported_states::Words;
+use crate::reported_states::ReportedStates;
 
-/// Silence after which an entry that is heard at every period is suspected: three heartbeats and the
-/// way.
+/// Silence after which an entry that sends heartbeats in every period is suspected: three
+/// heartbeats and the network delay.
 const SUSPECT_AFTER: Duration = Duration::from_millis(500);
-/// Heartbeats to heads that carry the same news; whoever misses all of them hears by the comparison of
-/// heads.
-const NEWS_SENDS: u32 = 12;
-/// News in one heartbeat; the loss of half of all heads is told within a few.
-const NEWS_MAX: usize = 24;
-/// Heartbeats to the watched ones between two calls of others, by which parts of a fleet that were
-/// cut from each other find together again.
-const OUTREACH_EVERY: u32 = 7;
-/// Calls in a row without an answer, made at each period once one has failed, after which an entry is
-/// suspected. One or two can be lost with a packet.
+/// Number of heartbeats to core entries that carry the same update. An entry that misses all of
+/// them receives it after the comparison of core digests.
+const UPDATE_SENDS: u32 = 12;
+/// Maximum number of updates in one heartbeat. A few heartbeats are enough to propagate the loss of
+/// half of all core entries.
+const UPDATES_MAX: usize = 24;
+/// Heartbeats to the monitored entries between two discovery calls, by which the parts of a
+/// partitioned fleet find each other again.
+const DISCOVERY_EVERY: u32 = 7;
+/// Number of consecutive unanswered calls after which an entry is suspected. Once a call has
+/// failed, it is repeated in every period. One or two can fail because of a lost packet.
 const UNANSWERED_MAX: u32 = 3;
-/// Silence that an entry allows the others beside the usual one, as a multiple of how late it is
-/// itself: its call waits that long and the answer does, and either may wait twice as long as on average.
-const LATENESS_FACTOR: u32 = 4;
+/// Additional silence allowed to other entries, as a multiple of the scheduling delay of this
+/// entry: both its call and the processing of the response wait that long, and each may wait twice
+/// the average.
+const SCHEDULING_DELAY_FACTOR: u32 = 4;
 
-/// What this process knows of itself, beside its name and place.
+/// The state of this process, except for its name and addresses.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OwnState {
-    /// Whether it knows routes.
+    /// Whether the process has routes.
     pub is_synced: bool,
-    /// Whether a planned stop is under way.
+    /// Whether a planned stop is in progress.
     pub is_leaving: bool,
-    /// Whether it reads the platform now.
+    /// Whether the process currently reads the platform.
     pub is_reader: bool,
-    /// How many targets it knows.
+    /// Number of known targets.
     pub target_count: usize,
-    /// Whether its work waits for the processor.
+    /// Whether callers notice the scheduling delay of the process.
     pub is_overloaded: bool,
-    /// How late it does its work, heartbeats among it.
+    /// How long runnable work, including heartbeats, waits for the processor.
     pub scheduling_delay: Duration,
 }
 
-/// What the beliefs follow from; they are made anew when it has changed. With hundreds of entries,
-/// sorting them for each heartbeat would take most of the processor time of a small VM.
+/// The inputs of the cached view, which is computed again when they change. With hundreds of
+/// entries, ranking them for each heartbeat would use most of the processor time of a small VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Basis {
-    view_version: u64,
-    words_version: u64,
-    synced: bool,
-    leaving: bool,
-    blind: bool,
-    targets: usize,
-    near_periods: u32,
+struct ViewCacheKey {
+    membership_version: u64,
+    reports_version: u64,
+    is_synced: bool,
+    is_leaving: bool,
+    is_disconnected: bool,
+    target_count: usize,
+    local_interval_periods: u32,
 }
 
-/// An entry as part of its fleet. Does no I/O: it is told what was heard, and says what to send.
+/// An entry as a member of its fleet. Does no I/O: it processes received heartbeats and returns
+/// what to send.
 #[derive(Debug)]
 pub struct FleetMember {
     own: Announcement,
     own_state: OwnState,
-    view: MembershipView,
-    /// Whether the platform answers. Open to whoever calls the platform, since what comes of these
-    /// calls concerns nothing else here.
+    membership: MembershipView,
+    /// Availability of the platform. Public, so that the code that calls the platform can record
+    /// the results. Recording them involves no other field.
     pub platform: PlatformAvailability,
-    /// What entries say of themselves.
-    words: Words,
-    /// Live entries of the own failure domain, by the word of the first ones there.
-    told_domain_entries: u32,
-    /// What other entries were told.
-    told: BTreeMap<VmId, Told>,
-    beliefs: Option<(Basis, Rc<FleetView>)>,
-    /// Periods since the start.
-    periods: u32,
-    /// Periods between two heartbeats to the watched ones, as of the last period.
-    watched_periods: u32,
-    /// Calls in a row that watched entries have not answered.
-    unanswered: BTreeMap<VmId, u32>,
+    /// States that entries report about themselves.
+    reports: ReportedStates,
+    /// Number of live entries in this entry's failure domain, as reported by the leading entries
+    /// there.
+    reported_domain_entries: u32,
+    /// Synchronization of the core entries with each other entry.
+    core_syncs: BTreeMap<VmId, CoreSync>,
+    cached_view: Option<(ViewCacheKey, Rc<FleetView>)>,
+    /// Number of periods since the start.
+    period_count: u32,
+    /// Interval between two heartbeats to the monitored entries, as of the last period.
+    monitored_interval_periods: u32,
+    /// Number of consecutive unanswered calls to each monitored entry.
+    unanswered_calls: BTreeMap<VmId, u32>,
 }
 
 impl FleetMember {
-    /// An entry that knows only itself.
+    /// Creates a member that knows only itself.
     pub fn new(own: Announcement, now: Mono) -> Self {
         let config = ViewConfig {
             suspect_after: SUSPECT_AFTER,
-            evidence_for: SUSPECT_AFTER,
-            news_sends: NEWS_SENDS,
-            news_max: NEWS_MAX,
+            evidence_valid_for: SUSPECT_AFTER,
+            update_sends: UPDATE_SENDS,
+            updates_max: UPDATES_MAX,
             ..ViewConfig::default()
         };
         Self {
-            view: MembershipView::new(config, &own, now),
+            membership: MembershipView::new(config, &own, now),
             own,
             own_state: OwnState::default(),
             platform: PlatformAvailability::new(),
-            words: Words::default(),
-            told_domain_entries: 0,
-            told: BTreeMap::new(),
-            beliefs: None,
-            periods: 0,
-            watched_periods: 1,
-            unanswered: BTreeMap::new(),
+            reports: ReportedStates::default(),
+            reported_domain_entries: 0,
+            core_syncs: BTreeMap::new(),
+            cached_view: None,
+            period_count: 0,
+            monitored_interval_periods: 1,
+            unanswered_calls: BTreeMap::new(),
         }
     }
 
-    /// What this process knows of itself.
+    /// Returns the state of this process.
     pub fn own_state(&self) -> OwnState {
         self.own_state
     }
 
-    /// Changes what this process knows of itself.
+    /// Sets the state of this process.
     pub fn set_own_state(&mut self, own_state: OwnState) {
         if own_state.is_leaving && !self.own_state.is_leaving {
-            self.view.leave();
+            self.membership.leave();
         }
         self.own_state = own_state;
     }
 
-    /// This process was paused: the others look silent although only its own clock ran on.
+    /// Handles a pause of this process, after which the others seem silent although only its own
+    /// clock has advanced.
     pub fn handle_resume(&mut self, now: Mono) {
-        self.view.handle_resume(now);
+        self.membership.handle_resume(now);
     }
 
-    /// What is believed now.
+    /// Returns the current view of the fleet.
     pub fn view(&mut self, now: Mono) -> Rc<FleetView> {
-        let basis = self.basis();
-        let holds = |beliefs: &FleetView| beliefs.hold_until.is_none_or(|until| now < until);
-        if let Some((kept_basis, kept)) = &self.beliefs
-            && *kept_basis == basis
-            && holds(kept)
+        let cache_key = self.view_cache_key();
+        let is_valid = |view: &FleetView| view.valid_until.is_none_or(|until| now < until);
+        if let Some((cached_key, cached)) = &self.cached_view
+            && *cached_key == cache_key
+            && is_valid(cached)
         {
-            return Rc::clone(kept);
+            return Rc::clone(cached);
         }
-        let made = Rc::new(FleetView::new(self.known(now)));
-        self.view.set_passed_on(made.core_entries.clone());
-        self.view.set_relays(made.contacts.relays);
-        self.beliefs = Some((basis, Rc::clone(&made)));
-        made
+        let view = Rc::new(FleetView::new(self.view_inputs(now)));
+        self.membership.set_propagated(view.core_entries.clone());
+        self.membership.set_forwards_updates(view.contacts.forwards_updates);
+        self.cached_view = Some((cache_key, Rc::clone(&view)));
+        view
     }
 
-    /// Whether this entry should read the platform: it is one of the readers, or hears none of them.
+    /// Returns whether this entry should read the platform: it is one of the readers, or no reader
+    /// has been seen for too long.
     pub fn should_read(&mut self, now: Mono) -> bool {
-        let beliefs = self.view(now);
-        let contacts = &beliefs.contacts;
-        let way = if contacts.monitors_readers {
+        let view = self.view(now);
+        let contacts = &view.contacts;
+        let delay = if contacts.monitors_readers {
             Duration::ZERO
         } else {
-            HEARTBEAT_PERIOD * contacts.watched_periods
+            HEARTBEAT_PERIOD * contacts.monitored_interval_periods
         };
-        beliefs.readers.contains(self.own_vm()) || self.platform.misses_readers(way, now)
+        view.readers.contains(self.own_vm()) || self.platform.is_missing_readers(delay, now)
     }
 
-    /// Begins a period: notices who has been silent, and says whom to call.
+    /// Starts a period: detects silent entries and returns the endpoints to call.
     pub fn start_period(
         &mut self,
         seeds: &[Endpoint],
         rng: &mut impl Rng,
         now: Mono,
     ) -> BTreeSet<Endpoint> {
-        self.words.note_own(self.own_state.is_overloaded, now);
-        let beliefs = self.view(now);
-        self.watch(&beliefs, now);
-        let period = self.periods;
-        self.periods = self.periods.wrapping_add(1);
-        let mut called = if beliefs.is_alone(self.own_vm()) {
-            all_known(&beliefs, seeds, rng)
+        self.reports.record_own(self.own_state.is_overloaded, now);
+        let view = self.view(now);
+        self.detect_silence(&view, now);
+        let period = self.period_count;
+        self.period_count = self.period_count.wrapping_add(1);
+        let mut calls = if view.is_alone(self.own_vm()) {
+            calls_when_alone(&view, seeds, rng)
         } else {
-            self.due(&beliefs, period)
+            self.due_contacts(&view, period)
         };
-        if is_outreach(&beliefs, period) {
-            self.told.retain(|_, told| !told.is_old(now));
-            called.extend(some_known(&beliefs, &self.own.listed.failure_domain, seeds, rng));
+        if is_discovery_period(&view, period) {
+            self.core_syncs.retain(|_, sync| !sync.is_expired(now));
+            calls.extend(discovery_calls(&view, &self.own.listed.failure_domain, seeds, rng));
         }
-        called.remove(&self.own.listed.peers);
-        called
+        calls.remove(&self.own.listed.peers);
+        calls
     }
 
-    /// Where connections are kept, when it is time to close all others; `None` at most periods, since
-    /// what is called by chance may be called again.
+    /// Returns the endpoints whose connections are kept when all others are to be closed. Returns
+    /// `None` in most periods, since an entry called at random may be called again.
     pub fn connections_to_keep(&mut self, now: Mono) -> Option<BTreeSet<Endpoint>> {
-        let beliefs = self.view(now);
-        let due = is_outreach(&beliefs, self.periods.wrapping_sub(1));
-        let contacts = beliefs.contacts.watched.iter().chain(&beliefs.contacts.in_turn);
-        due.then(|| contacts.filter_map(|vm| beliefs.endpoint(vm)).collect())
+        let view = self.view(now);
+        let is_due = is_discovery_period(&view, self.period_count.wrapping_sub(1));
+        let contacts = view.contacts.monitored.iter().chain(&view.contacts.rotating);
+        is_due.then(|| contacts.filter_map(|vm| view.endpoint(vm)).collect())
     }
 
-    /// Whom to tell at once that this process leaves, as it was believed before: one that callers are
-    /// sent to, or whose word is passed on, tells every entry that it knows; any other those that it
-    /// exchanges heartbeats with.
+    /// Starts to leave the fleet and returns the endpoints to notify at once, according to the view
+    /// before. An entry that forwards updates, as advertised entries do, notifies all entries that
+    /// it knows; any other one only those that it exchanges heartbeats with.
     pub fn leave(&mut self, now: Mono) -> Vec<Endpoint> {
         let before = self.view(now);
         self.set_own_state(OwnState { is_leaving: true, ..self.own_state });
         let contacts = &before.contacts;
-        let told = before.order.iter().map(|entry| &entry.vm).filter(|vm| {
-            *vm != self.own_vm() && (contacts.relays || contacts.watched.contains(vm))
+        let notified = before.ranking.iter().map(|entry| &entry.vm).filter(|vm| {
+            *vm != self.own_vm() && (contacts.forwards_updates || contacts.monitored.contains(vm))
         });
-        told.filter_map(|vm| before.endpoint(vm)).collect()
+        notified.filter_map(|vm| before.endpoint(vm)).collect()
     }
 
-    /// What to say to an entry.
+    /// Creates the heartbeat for an entry.
     ///
-    /// Heads that differ are told until they agree. News is passed on a bounded number of times, so
-    /// that in a large fleet some never reach an entry that is busy or cut off for a moment; it would
-    /// send callers to other entries than the rest of the fleet for ever.
+    /// While the core digests differ, updates are sent until they agree. Each update is forwarded a
+    /// bounded number of times, so in a large fleet some never reach an entry that is busy or cut
+    /// off for a moment. Without the comparison such an entry would send callers to other entries
+    /// than the rest of the fleet forever.
     pub fn heartbeat_for(&mut self, to: &VmId, now: Mono) -> FleetHeartbeat {
-        let beliefs = self.view(now);
-        let news = self.due_news(&beliefs, to, now);
-        let round = self.view.own_round();
+        let view = self.view(now);
+        let updates = self.due_updates(&view, to, now);
+        let round = self.membership.own_round();
         let mut from = Announcement { round, ..self.own.clone() };
         from.listed.leaving = self.own_state.is_leaving;
         FleetHeartbeat {
             from,
             is_starting: !self.own_state.is_synced,
-            updates: news.into_values().collect(),
-            core_digest: beliefs.digest,
+            updates: updates.into_values().collect(),
+            core_digest: view.core_digest,
             is_disconnected: self.platform.is_disconnected(),
             platform: self.platform.ages(self.own_state.is_reader, now),
-            domain_entries: beliefs.domain_entries,
-            is_overloaded: self.words.is_own_behind(),
+            domain_entries: view.domain_entries,
+            is_overloaded: self.reports.is_own_overloaded(),
         }
     }
 
-    /// A call was not answered in time, or could not be made.
+    /// Records a call that could not be made or was not answered in time.
     ///
-    /// In a large failure domain most entries call the first ones there seldom. If they waited for
-    /// the silence of several such calls, they would name lost entries to callers for two seconds.
+    /// In a large failure domain most entries rarely call the leading ones there. If they waited
+    /// for the silence of several such calls, they would advertise lost entries to callers for two
+    /// seconds.
     pub fn record_unanswered_call(&mut self, endpoint: Endpoint, now: Mono) {
-        let beliefs = self.view(now);
-        let mut watched = beliefs.contacts.watched.iter();
-        let Some(vm) = watched.find(|vm| beliefs.endpoint(vm) == Some(endpoint)) else { return };
-        let count = self.unanswered.entry(vm.clone()).or_default();
+        let view = self.view(now);
+        let mut monitored = view.contacts.monitored.iter();
+        let Some(vm) = monitored.find(|vm| view.endpoint(vm) == Some(endpoint)) else { return };
+        let count = self.unanswered_calls.entry(vm.clone()).or_default();
         *count += 1;
         if *count >= UNANSWERED_MAX {
-            self.unanswered.remove(vm);
-            self.view.suspect(vm, now);
+            self.unanswered_calls.remove(vm);
+            self.membership.suspect(vm, now);
         }
     }
 
-    /// Takes what another entry says.
-    pub fn receive_heartbeat(&mut self, beat: &FleetHeartbeat, now: Mono) {
-        let vm = &beat.from.listed.vm;
-        let known = self.view.knows_run(vm, beat.from.incarnation);
-        self.view.receive_heartbeat(&beat.from, now);
-        self.unanswered.remove(vm);
-        for news in &beat.updates {
-            self.view.receive_update(news, now);
+    /// Processes a heartbeat of another entry.
+    pub fn receive_heartbeat(&mut self, heartbeat: &FleetHeartbeat, now: Mono) {
+        let vm = &heartbeat.from.listed.vm;
+        let is_known = self.membership.is_current_incarnation(vm, heartbeat.from.incarnation);
+        self.membership.receive_heartbeat(&heartbeat.from, now);
+        self.unanswered_calls.remove(vm);
+        for update in &heartbeat.updates {
+            self.membership.receive_update(update, now);
         }
-        self.words.note(beat, now);
-        let beliefs = self.view(now);
-        self.note_source(&beliefs, beat, now);
-        self.note_domain_entries(&beliefs, beat);
-        if !known {
-            self.told.remove(vm);
+        self.reports.record(heartbeat, now);
+        let view = self.view(now);
+        self.record_platform_report(&view, heartbeat, now);
+        self.record_domain_entries(&view, heartbeat);
+        if !is_known {
+            self.core_syncs.remove(vm);
         }
-        let told = self.told.entry(vm.clone()).or_insert_with(|| Told::new(now));
-        told.compared(beat.core_digest == beliefs.digest, self.view.version(), now);
+        let sync = self.core_syncs.entry(vm.clone()).or_insert_with(|| CoreSync::new(now));
+        sync.record_comparison(
+            heartbeat.core_digest == view.core_digest,
+            self.membership.version(),
+            now,
+        );
     }
 
     fn own_vm(&self) -> &VmId {
         &self.own.listed.vm
     }
 
-    fn basis(&self) -> Basis {
-        Basis {
-            view_version: self.view.version(),
-            words_version: self.words.version(),
-            synced: self.own_state.is_synced,
-            leaving: self.own_state.is_leaving,
-            blind: self.platform.is_disconnected(),
-            targets: self.own_state.target_count,
-            near_periods: near_periods(self.told_domain_entries as usize),
+    fn view_cache_key(&self) -> ViewCacheKey {
+        ViewCacheKey {
+            membership_version: self.membership.version(),
+            reports_version: self.reports.version(),
+            is_synced: self.own_state.is_synced,
+            is_leaving: self.own_state.is_leaving,
+            is_disconnected: self.platform.is_disconnected(),
+            target_count: self.own_state.target_count,
+            local_interval_periods: local_interval_periods(self.reported_domain_entries as usize),
         }
     }
 
-    fn known(&self, now: Mono) -> Known<'_> {
-        let mut blind = self.words.blind().clone();
+    fn view_inputs(&self, now: Mono) -> ViewInputs<'_> {
+        let mut disconnected = self.reports.disconnected().clone();
         if self.platform.is_disconnected() {
-            blind.insert(self.own_vm().clone());
+            disconnected.insert(self.own_vm().clone());
         }
-        Known {
+        ViewInputs {
             own: &self.own,
-            entries: self.view.entries(),
-            starting: self.words.starting(now),
-            behind: self.words.behind(now),
-            is_behind: self.words.is_own_behind(),
-            blind,
-            serves: self.own_state.is_synced && !self.own_state.is_leaving,
-            leaving: self.own_state.is_leaving,
-            targets: self.own_state.target_count,
-            told_domain_entries: self.told_domain_entries,
+            entries: self.membership.entries(),
+            starting_until: self.reports.starting_until(now),
+            overloaded_until: self.reports.overloaded_until(now),
+            is_overloaded: self.reports.is_own_overloaded(),
+            disconnected,
+            is_serving: self.own_state.is_synced && !self.own_state.is_leaving,
+            is_leaving: self.own_state.is_leaving,
+            target_count: self.own_state.target_count,
+            reported_domain_entries: self.reported_domain_entries,
         }
     }
 
-    /// Notices the silence of those whose heartbeats come at regular periods.
+    /// Suspects monitored entries, whose heartbeats arrive at regular intervals, once they are
+    /// silent.
     ///
-    /// An entry that is late itself both calls late and reads the answers late; the others are not
-    /// silent for that.
-    fn watch(&mut self, beliefs: &FleetView, now: Mono) {
-        let contacts = &beliefs.contacts;
-        let silence = SUSPECT_AFTER.max(HEARTBEAT_PERIOD * contacts.watched_periods * 3);
-        let silence = silence + self.own_state.scheduling_delay * LATENESS_FACTOR;
-        self.view.set_suspect_after(silence);
-        if contacts.watched_periods < self.watched_periods {
-            // They have been called less often until now, and are not silent for that.
-            self.view.monitor(&BTreeSet::new(), now);
+    /// An entry with a scheduling delay both calls late and processes the responses late, so it
+    /// allows the others more silence.
+    fn detect_silence(&mut self, view: &FleetView, now: Mono) {
+        let contacts = &view.contacts;
+        let silence = SUSPECT_AFTER.max(HEARTBEAT_PERIOD * contacts.monitored_interval_periods * 3);
+        let silence = silence + self.own_state.scheduling_delay * SCHEDULING_DELAY_FACTOR;
+        self.membership.set_suspect_after(silence);
+        if contacts.monitored_interval_periods < self.monitored_interval_periods {
+            // These entries were called less often until now, which does not make them silent.
+            self.membership.monitor(&BTreeSet::new(), now);
         }
-        self.watched_periods = contacts.watched_periods;
-        self.view.monitor(&contacts.watched.iter().cloned().collect(), now);
-        self.view.expire(now);
+        self.monitored_interval_periods = contacts.monitored_interval_periods;
+        self.membership.monitor(&contacts.monitored.iter().cloned().collect(), now);
+        self.membership.expire(now);
     }
 
-    /// Contacts that are called at a period.
-    fn due(&self, beliefs: &FleetView, period: u32) -> BTreeSet<Endpoint> {
-        let contacts = &beliefs.contacts;
+    /// Returns the endpoints of the contacts to call in a period.
+    fn due_contacts(&self, view: &FleetView, period: u32) -> BTreeSet<Endpoint> {
+        let contacts = &view.contacts;
         let mut due: Vec<&VmId> = Vec::new();
-        if period.is_multiple_of(contacts.watched_periods) {
-            due.extend(&contacts.watched);
+        if period.is_multiple_of(contacts.monitored_interval_periods) {
+            due.extend(&contacts.monitored);
         }
-        due.extend(contacts.watched.iter().filter(|vm| self.unanswered.contains_key(vm)));
-        if period.is_multiple_of(contacts.in_turn_periods) && !contacts.in_turn.is_empty() {
-            let turn = (period / contacts.in_turn_periods) as usize % contacts.in_turn.len();
-            due.push(&contacts.in_turn[turn]);
+        due.extend(contacts.monitored.iter().filter(|vm| self.unanswered_calls.contains_key(vm)));
+        if period.is_multiple_of(contacts.rotating_interval_periods)
+            && !contacts.rotating.is_empty()
+        {
+            let index =
+                (period / contacts.rotating_interval_periods) as usize % contacts.rotating.len();
+            due.push(&contacts.rotating[index]);
         }
-        due.into_iter().filter_map(|vm| beliefs.endpoint(vm)).collect()
+        due.into_iter().filter_map(|vm| view.endpoint(vm)).collect()
     }
 
-    /// News by the VM that it is about.
-    fn due_news(
+    /// Returns the updates to send to an entry, by the VM that each is about.
+    fn due_updates(
         &mut self,
-        beliefs: &FleetView,
+        view: &FleetView,
         to: &VmId,
         now: Mono,
     ) -> BTreeMap<VmId, MemberUpdate> {
-        // The others hear by the comparison of heads.
-        let mut news = if beliefs.core_entries.contains(to) {
-            self.view.take_due_updates()
+        // Other entries receive updates after the comparison of core digests.
+        let mut updates = if view.core_entries.contains(to) {
+            self.membership.take_due_updates()
         } else {
             Vec::new()
         };
-        let version = self.view.version();
-        let since = self.told.get_mut(to).and_then(|told| told.take_due(version, now));
-        news.extend(since.map_or_else(Vec::new, |since| self.view.news_since(since)));
-        news.extend(self.view.suspicion_of(to));
-        news.into_iter().map(|news| (news.about.listed.vm.clone(), news)).collect()
+        let version = self.membership.version();
+        let due_version =
+            self.core_syncs.get_mut(to).and_then(|sync| sync.take_due_version(version, now));
+        updates.extend(
+            due_version.map_or_else(Vec::new, |version| self.membership.updates_since(version)),
+        );
+        updates.extend(self.membership.suspicion_of(to));
+        updates.into_iter().map(|update| (update.about.listed.vm.clone(), update)).collect()
     }
 
-    /// Those who read the platform say whether it answers them; others pass on what they heard.
-    fn note_source(&mut self, beliefs: &FleetView, beat: &FleetHeartbeat, now: Mono) {
-        if beliefs.readers.contains(&beat.from.listed.vm) {
-            self.platform.told(!beat.is_disconnected, now);
-        } else if !beliefs.contacts.monitors_readers {
-            self.platform.relayed(beat.platform, now);
+    /// Records what the sender reports about the platform: its own result if it is a reader,
+    /// otherwise the ages that it forwards.
+    fn record_platform_report(&mut self, view: &FleetView, heartbeat: &FleetHeartbeat, now: Mono) {
+        if view.readers.contains(&heartbeat.from.listed.vm) {
+            self.platform.record_reader_report(!heartbeat.is_disconnected, now);
+        } else if !view.contacts.monitors_readers {
+            self.platform.merge_ages(heartbeat.platform, now);
         }
     }
 
-    /// The first ones of the own failure domain know how many stand there.
-    fn note_domain_entries(&mut self, beliefs: &FleetView, beat: &FleetHeartbeat) {
-        let listed = &beat.from.listed;
-        let here = listed.failure_domain == self.own.listed.failure_domain;
-        if here && !beliefs.contacts.relays && beliefs.contacts.watched.contains(&listed.vm) {
-            self.told_domain_entries = beat.domain_entries;
+    /// Records the number of entries in this entry's failure domain if the sender is a leading
+    /// entry there, since these know all of them.
+    fn record_domain_entries(&mut self, view: &FleetView, heartbeat: &FleetHeartbeat) {
+        let listed = &heartbeat.from.listed;
+        let is_local = listed.failure_domain == self.own.listed.failure_domain;
+        if is_local
+            && !view.contacts.forwards_updates
+            && view.contacts.monitored.contains(&listed.vm)
+        {
+            self.reported_domain_entries = heartbeat.domain_entries;
         }
     }
 }
 
-fn is_outreach(beliefs: &FleetView, period: u32) -> bool {
-    period.is_multiple_of(OUTREACH_EVERY * beliefs.contacts.watched_periods)
+fn is_discovery_period(view: &FleetView, period: u32) -> bool {
+    period.is_multiple_of(DISCOVERY_EVERY * view.contacts.monitored_interval_periods)
 }
--- a/crates/fleet/src/overflow.rs
+++ b/crates/fleet/src/overflow.rs
@@ -1,64 +1,70 @@
-//! Which entries are named beside those that are behind with their work.
+//! Selection of overflow entries: those advertised in addition to overloaded ones.
 
 use std::collections::BTreeSet;
 
 use shallotfork_types::{FailureDomain, VmId};
 
-use crate::advertised::{ACTIVE_MAX, carried};
+use crate::advertised::{ADVERTISED_MAX, total_capacity};
 use crate::ranking::Candidate;
 
-/// Entries that are named in addition for each one that is behind. Callers follow an answer after
-/// seconds only, so that one step has to be enough for most bursts.
-const HELPERS: usize = 2;
+/// Overflow entries per overloaded entry. Callers follow a new response only after seconds, so a
+/// single step has to be enough for most bursts.
+const OVERFLOW_PER_OVERLOADED: usize = 2;
 
-/// The entries that callers are `usually` sent to, and the ones after them in each failure domain where
-/// some are behind.
+/// Returns the `usual` advertised entries and, in each failure domain with overloaded ones, the
+/// entries that rank next.
 ///
-/// How many requests a VM can carry is only a guess until they come: a burst, callers that repeat at
-/// once, or a slow processor takes more than it has. What it reads then has waited so long that
-/// nearly all of its work is for callers that have given up, who ask again, and so it goes on after the
-/// burst, while the other VMs of its failure domain stand idle.
+/// The number of requests that a VM can carry is an estimate: a burst, callers that repeat requests
+/// at once or a slow processor can exceed it. Requests then wait so long that nearly all work is
+/// done for callers that have given up and repeat their requests. The overload outlasts the burst
+/// while the other VMs of the failure domain are idle.
 ///
-/// Callers choose among those that are named with equal chances, so that weaker ones are added only
-/// where all together carry more than the strong ones do.
-pub fn with_helpers(
+/// Callers choose among the advertised entries with equal probability, so smaller entries are added
+/// only where all of them together carry more than the large ones alone.
+pub fn add_overflow_entries(
     usual: &[Candidate],
     serving: &[Candidate],
-    behind: &BTreeSet<VmId>,
+    overloaded: &BTreeSet<VmId>,
 ) -> Vec<Candidate> {
     let domains: BTreeSet<&FailureDomain> =
         usual.iter().map(|entry| &entry.failure_domain).collect();
-    let mut named: BTreeSet<&VmId> = usual.iter().map(|entry| &entry.vm).collect();
+    let mut advertised: BTreeSet<&VmId> = usual.iter().map(|entry| &entry.vm).collect();
     for domain in domains {
-        let here = serving.iter().filter(|entry| entry.failure_domain == *domain);
-        let here: Vec<&Candidate> = here.take(ACTIVE_MAX).collect();
-        let usually = here.iter().filter(|entry| named.contains(&entry.vm)).count();
-        let late = here.iter().filter(|entry| behind.contains(&entry.vm)).count();
-        let most =
-            here.len().min(usually + late * HELPERS).max(count_exceeding_behind(&here, behind));
-        let best = (usually..=most).max_by_key(|count| carried_by(*count, &here));
-        named.extend(here.iter().take(best.unwrap_or(usually)).map(|entry| &entry.vm));
+        let local = serving.iter().filter(|entry| entry.failure_domain == *domain);
+        let local: Vec<&Candidate> = local.take(ADVERTISED_MAX).collect();
+        let usual_count = local.iter().filter(|entry| advertised.contains(&entry.vm)).count();
+        let overloaded_count = local.iter().filter(|entry| overloaded.contains(&entry.vm)).count();
+        let max_count = local
+            .len()
+            .min(usual_count + overloaded_count * OVERFLOW_PER_OVERLOADED)
+            .max(count_exceeding_overloaded(&local, overloaded));
+        let best_count =
+            (usual_count..=max_count).max_by_key(|count| total_capacity_or_zero(*count, &local));
+        advertised
+            .extend(local.iter().take(best_count.unwrap_or(usual_count)).map(|entry| &entry.vm));
     }
-    serving.iter().filter(|entry| named.contains(&entry.vm)).cloned().collect()
+    serving.iter().filter(|entry| advertised.contains(&entry.vm)).cloned().collect()
 }
 
-fn carried_by(count: usize, here: &[&Candidate]) -> u64 {
-    if count == 0 { 0 } else { carried(count, here) }
+fn total_capacity_or_zero(count: usize, local: &[&Candidate]) -> u64 {
+    if count == 0 { 0 } else { total_capacity(count, local) }
 }
 
-/// Returns the smallest number of entries that together carry more than the leading run of entries that
-/// are behind, so that weaker entries do not stay idle when all stronger ones are overloaded.
+/// Returns the smallest number of entries that together carry more than the leading run of
+/// overloaded entries, so that smaller entries do not stay idle when all larger ones are
+/// overloaded.
 ///
-/// Returns 0 if the first entry is not behind, if the entry after the run is missing or not weaker, or if
-/// no number of entries carries more.
-fn count_exceeding_behind(here: &[&Candidate], behind: &BTreeSet<VmId>) -> usize {
-    let leading = here.iter().take_while(|entry| behind.contains(&entry.vm)).count();
-    let next_is_weaker =
-        leading > 0 && leading < here.len() && here[leading].capacity < here[leading - 1].capacity;
-    if !next_is_weaker {
+/// Returns 0 if the first entry is not overloaded, if the entry after the run is missing or not
+/// smaller, or if no number of entries carries more.
+fn count_exceeding_overloaded(local: &[&Candidate], overloaded: &BTreeSet<VmId>) -> usize {
+    let leading = local.iter().take_while(|entry| overloaded.contains(&entry.vm)).count();
+    let next_is_smaller = leading > 0
+        && leading < local.len()
+        && local[leading].capacity < local[leading - 1].capacity;
+    if !next_is_smaller {
         return 0;
     }
-    let count =
-        (leading + 1..=here.len()).find(|count| carried(*count, here) > carried(leading, here));
+    let count = (leading + 1..=local.len())
+        .find(|count| total_capacity(*count, local) > total_capacity(leading, local));
     count.unwrap_or(0)
 }
--- a/crates/fleet/src/ranking.rs
+++ b/crates/fleet/src/ranking.rs
@@ -1,4 +1,4 @@
-//! The order of entries.
+//! Ranking of entries.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -6,17 +6,17 @@
 use shallotfork_membership::EntryVm;
 use shallotfork_types::{FailureDomain, PerSecond, VmId, rendezvous_weight};
 
-/// Names the ranking; every entry must compute the same one.
-const RANKING: &str = "callers";
+/// Key of the ranking in the rendezvous hash. All entries must use the same one.
+const RANKING_KEY: &str = "callers";
 
 /// A live entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its name.
+    /// Name of the entry VM.
     pub vm: VmId,
-    /// Where it stands.
+    /// Failure domain of the entry VM.
     pub failure_domain: FailureDomain,
-    /// Requests that it could carry.
+    /// Number of requests per second that the entry can carry.
     pub capacity: PerSecond,
 }
 
@@ -30,26 +30,28 @@
     }
 }
 
-/// Orders live entries, best first. Entries that know the same candidates agree on the order
-/// without a message.
+/// Ranks live entries, best first. Entries that know the same candidates compute the same ranking
+/// without exchanging messages.
 ///
-/// A small VM takes its turn only when no larger one is left. Among equally strong ones failure
-/// domains take turns, so that those who are named first stand in as many of them as possible and
-/// have targets nearby. Whether an entry can read the platform does not matter here: it learns of
-/// changes from those who can. Were entries that can't read put last, a platform that is away would
-/// send callers from each entry to the next until the whole fleet has found out, and leave them at
-/// the weakest ones.
-pub fn fleet_order(mut candidates: Vec<Candidate>) -> Vec<Candidate> {
+/// Entries of higher capacity rank first, so a small VM is used only when no larger one is left.
+/// Among entries of equal capacity failure domains alternate, so that the first ones cover as many
+/// domains as possible and have targets nearby.
+///
+/// The ranking ignores whether an entry can read the platform, since it receives changes from the
+/// entries that can. If entries that cannot read ranked last, a platform outage would move callers
+/// from each entry to the next until the whole fleet has noticed it, and leave them at the smallest
+/// entries.
+pub fn rank_entries(mut candidates: Vec<Candidate>) -> Vec<Candidate> {
     candidates.sort_by_cached_key(|candidate| {
-        let weight = rendezvous_weight(RANKING, candidate.vm.as_str());
+        let weight = rendezvous_weight(RANKING_KEY, candidate.vm.as_str());
         Reverse((candidate.capacity, weight))
     });
-    let mut seen: BTreeMap<(PerSecond, FailureDomain), usize> = BTreeMap::new();
+    let mut counts: BTreeMap<(PerSecond, FailureDomain), usize> = BTreeMap::new();
     candidates.sort_by_cached_key(|candidate| {
-        let alike = (candidate.capacity, candidate.failure_domain.clone());
-        let place = seen.entry(alike).or_default();
-        *place += 1;
-        (Reverse(candidate.capacity), *place)
+        let group = (candidate.capacity, candidate.failure_domain.clone());
+        let position = counts.entry(group).or_default();
+        *position += 1;
+        (Reverse(candidate.capacity), *position)
     });
     candidates
 }
--- a/crates/fleet/src/readers.rs
+++ b/crates/fleet/src/readers.rs
@@ -1,37 +1,41 @@
-//! Who reads the platform for the whole fleet.
+//! Selection of the entries that read the platform for the whole fleet.
 
 use std::collections::BTreeSet;
 
 use shallotfork_types::VmId;
 
-/// Entries that read the platform. Three of them lose no time when one or two are lost; each costs
-/// a call for every change.
+/// Number of readers. With three, the loss of one or two causes no delay; each reader costs the
+/// platform one call per change.
 const READERS: usize = 3;
-/// Entries at the head of the order among which they are chosen. A platform that turns away half of
-/// all VMs turns away all of nine once in five hundred times.
-const TRIED: usize = 9;
+/// Number of top-ranked entries among which the readers are chosen. If the platform rejects half of
+/// all VMs, it rejects all nine once in five hundred times.
+const READER_CANDIDATES: usize = 9;
 
-/// The readers, of entries in the order of [`fleet_order`](crate::fleet_order): the first ones that
-/// don't say that the platform turns them away.
+/// Chooses the readers from a ranking made by [`rank_entries`](crate::rank_entries): the first
+/// entries that do not report that they are disconnected from the platform.
 ///
-/// When all that may be tried are turned away, the platform is away, and the first ones go on
-/// trying. Without the bound, each entry would take the place of those before it and find the
-/// platform away in its turn: a call of every entry of the fleet, at a moment when the platform is
-/// in trouble.
-pub fn choose_readers(order: &[VmId], blind: &BTreeSet<VmId>) -> Vec<VmId> {
-    let tried = || tried(order);
-    let seeing: Vec<VmId> =
-        tried().filter(|vm| !blind.contains(vm)).take(READERS).cloned().collect();
-    if seeing.is_empty() { tried().take(READERS).cloned().collect() } else { seeing }
+/// If all candidates are disconnected, the platform counts as unavailable and the first candidates
+/// keep trying. Without a limit on the candidates, each entry would replace those ranked before it
+/// and fail in turn, so that every entry of the fleet would call a platform that is already in
+/// trouble.
+pub fn choose_readers(ranking: &[VmId], disconnected: &BTreeSet<VmId>) -> Vec<VmId> {
+    let candidates = || reader_candidates(ranking);
+    let connected: Vec<VmId> =
+        candidates().filter(|vm| !disconnected.contains(vm)).take(READERS).cloned().collect();
+    if connected.is_empty() { candidates().take(READERS).cloned().collect() } else { connected }
 }
 
-/// Whether an entry may have to read soon, since the platform turns away one of those that come
-/// before or beside it. It then has to hear for itself who still reads: told by the first entry of
-/// its failure domain, it would begin too late for a change to be in force in time.
-pub fn may_have_to_read(own: &VmId, order: &[VmId], blind: &BTreeSet<VmId>) -> bool {
-    tried(order).any(|vm| vm == own) && tried(order).any(|vm| blind.contains(vm))
+/// Returns whether an entry may become a reader soon because one of the reader candidates, which
+/// include it, is disconnected from the platform.
+///
+/// Such an entry has to exchange heartbeats with the readers directly. If it were informed by the
+/// first entry of its failure domain, it would start to read too late for changes to be in force in
+/// time.
+pub fn may_become_reader(own: &VmId, ranking: &[VmId], disconnected: &BTreeSet<VmId>) -> bool {
+    reader_candidates(ranking).any(|vm| vm == own)
+        && reader_candidates(ranking).any(|vm| disconnected.contains(vm))
 }
 
-fn tried(order: &[VmId]) -> impl Iterator<Item = &VmId> {
-    order.iter().take(TRIED)
+fn reader_candidates(ranking: &[VmId]) -> impl Iterator<Item = &VmId> {
+    ranking.iter().take(READER_CANDIDATES)
 }
--- a/crates/fleet/src/reported_states.rs
+++ b/crates/fleet/src/reported_states.rs
@@ -1,4 +1,4 @@
-//! What entries say of themselves in their heartbeats, and how long it counts.
+//! States that entries report about themselves in heartbeats, and how long a report stays valid.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,101 +7,115 @@
 
 use crate::heartbeat::FleetHeartbeat;
 
-/// How long the word of an entry counts that it knows no routes yet. It takes it back to those whom
-/// it calls, not to all that have heard it; without an end, some of these would leave it out for
-/// ever and send callers to other entries than the rest of the fleet. A start takes a few tenths
+/// Time for which a report that an entry has no routes yet stays valid; a start takes a few tenths
 /// of a second.
-const STARTING_COUNTS: Duration = Duration::from_millis(1000);
-/// How long an entry says that it is behind after it was last: longer than callers keep an answer, so
-/// that those who were sent to others because of it have moved before it is judged anew.
-const BEHIND_SAID: Duration = Duration::from_secs(5);
-/// How long the word of another entry counts that it is behind. Its failure domain hears it again
-/// within a second; an entry that has heard it by chance would hold to it for ever.
-const BEHIND_COUNTS: Duration = Duration::from_secs(2);
+///
+/// The entry withdraws the report only at the entries that it calls, not at all that have received
+/// it. Without an expiry, some of these would leave it out forever and advertise other entries than
+/// the rest of the fleet.
+const STARTING_VALID_FOR: Duration = Duration::from_millis(1000);
+/// Time for which an entry reports that it is overloaded after it last was. It is longer than
+/// callers keep a response, so that the callers moved to other entries have left before the entry's
+/// load is evaluated again.
+const OVERLOAD_REPORTED_FOR: Duration = Duration::from_secs(5);
+/// Time for which another entry's report that it is overloaded stays valid. Entries of its failure
+/// domain receive it again within a second; an entry elsewhere that received it once by chance
+/// would otherwise keep it forever.
+const OVERLOAD_VALID_FOR: Duration = Duration::from_secs(2);
 
-/// The words of entries that count until they are taken back or run out.
+/// Reports of entries, each valid until it is withdrawn or expires.
 #[derive(Debug, Default)]
-pub(crate) struct Words {
-    /// Entries that said that they know no routes yet, and when they said it last.
+pub(crate) struct ReportedStates {
+    /// Entries that reported that they have no routes yet, with the time of the last report.
     starting: BTreeMap<VmId, Mono>,
-    /// Entries that say that they can't read the platform.
-    blind: BTreeSet<VmId>,
-    /// Entries whose work waits for the processor, and when they said so last.
-    behind: BTreeMap<VmId, Mono>,
-    /// When the work of this entry waited for the processor last; `None` once that is long ago.
-    own_behind_at: Option<Mono>,
+    /// Entries that report that they are disconnected from the platform.
+    disconnected: BTreeSet<VmId>,
+    /// Entries that report that they are overloaded, with the time of the last report.
+    overloaded: BTreeMap<VmId, Mono>,
+    /// Time at which this entry was last overloaded; `None` once it no longer reports that.
+    own_overloaded_at: Option<Mono>,
     version: u64,
 }
 
-impl Words {
-    /// Raised with each change of what counts, but for words that run out.
+impl ReportedStates {
+    /// Returns a version that increases with each change of a valid state, except for expiries.
     pub(crate) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Entries that know no routes yet, and until when that counts.
-    pub(crate) fn starting(&self, now: Mono) -> BTreeMap<VmId, Mono> {
-        counting(&self.starting, STARTING_COUNTS, now)
+    /// Returns the entries that have no routes yet, with the time at which each report expires.
+    pub(crate) fn starting_until(&self, now: Mono) -> BTreeMap<VmId, Mono> {
+        valid_until(&self.starting, STARTING_VALID_FOR, now)
     }
 
-    /// Entries that the platform turns away.
-    pub(crate) fn blind(&self) -> &BTreeSet<VmId> {
-        &self.blind
+    /// Returns the entries that are disconnected from the platform.
+    pub(crate) fn disconnected(&self) -> &BTreeSet<VmId> {
+        &self.disconnected
     }
 
-    /// Other entries whose work waits for the processor, and until when that counts.
-    pub(crate) fn behind(&self, now: Mono) -> BTreeMap<VmId, Mono> {
-        counting(&self.behind, BEHIND_COUNTS, now)
+    /// Returns the other entries that are overloaded, with the time at which each report expires.
+    pub(crate) fn overloaded_until(&self, now: Mono) -> BTreeMap<VmId, Mono> {
+        valid_until(&self.overloaded, OVERLOAD_VALID_FOR, now)
     }
 
-    /// Whether this entry says that its work waits for the processor.
-    pub(crate) fn is_own_behind(&self) -> bool {
-        self.own_behind_at.is_some()
+    /// Returns whether this entry reports that it is overloaded.
+    pub(crate) fn is_own_overloaded(&self) -> bool {
+        self.own_overloaded_at.is_some()
     }
 
-    /// Takes whether the work of this entry waits for the processor.
-    pub(crate) fn note_own(&mut self, is_behind: bool, now: Mono) {
-        let said_before = self.is_own_behind();
-        if is_behind {
-            self.own_behind_at = Some(now);
+    /// Records whether this entry is overloaded.
+    pub(crate) fn record_own(&mut self, is_overloaded: bool, now: Mono) {
+        let was_reported = self.is_own_overloaded();
+        if is_overloaded {
+            self.own_overloaded_at = Some(now);
         }
-        self.own_behind_at = self.own_behind_at.filter(|at| now.since(*at) < BEHIND_SAID);
-        self.version += u64::from(said_before != self.is_own_behind());
+        self.own_overloaded_at =
+            self.own_overloaded_at.filter(|at| now.since(*at) < OVERLOAD_REPORTED_FOR);
+        self.version += u64::from(was_reported != self.is_own_overloaded());
     }
 
-    /// Takes what an entry says.
-    pub(crate) fn note(&mut self, beat: &FleetHeartbeat, now: Mono) {
-        let vm = &beat.from.listed.vm;
-        let before = self.of(vm, now);
-        say(&mut self.starting, vm, beat.is_starting, now);
-        say(&mut self.behind, vm, beat.is_overloaded, now);
-        if beat.is_disconnected {
-            self.blind.insert(vm.clone());
+    /// Records the state that the sender of a heartbeat reports about itself.
+    pub(crate) fn record(&mut self, heartbeat: &FleetHeartbeat, now: Mono) {
+        let vm = &heartbeat.from.listed.vm;
+        let before = self.valid_states(vm, now);
+        set_reported(&mut self.starting, vm, heartbeat.is_starting, now);
+        set_reported(&mut self.overloaded, vm, heartbeat.is_overloaded, now);
+        if heartbeat.is_disconnected {
+            self.disconnected.insert(vm.clone());
         } else {
-            self.blind.remove(vm);
+            self.disconnected.remove(vm);
         }
-        self.version += u64::from(before != self.of(vm, now));
+        self.version += u64::from(before != self.valid_states(vm, now));
     }
 
-    /// What counts of one entry.
-    fn of(&self, vm: &VmId, now: Mono) -> [bool; 3] {
-        let counts = |said: &BTreeMap<VmId, Mono>, time: Duration| {
-            said.get(vm).is_some_and(|at| now.since(*at) < time)
+    /// Returns whether an entry is starting, disconnected and overloaded according to valid
+    /// reports.
+    fn valid_states(&self, vm: &VmId, now: Mono) -> [bool; 3] {
+        let is_valid = |reported_at: &BTreeMap<VmId, Mono>, valid_for: Duration| {
+            reported_at.get(vm).is_some_and(|at| now.since(*at) < valid_for)
         };
-        let starting = counts(&self.starting, STARTING_COUNTS);
-        [starting, self.blind.contains(vm), counts(&self.behind, BEHIND_COUNTS)]
+        let is_starting = is_valid(&self.starting, STARTING_VALID_FOR);
+        [
+            is_starting,
+            self.disconnected.contains(vm),
+            is_valid(&self.overloaded, OVERLOAD_VALID_FOR),
+        ]
     }
 }
 
-fn say(said: &mut BTreeMap<VmId, Mono>, vm: &VmId, says: bool, now: Mono) {
-    if says {
-        said.insert(vm.clone(), now);
+fn set_reported(reported_at: &mut BTreeMap<VmId, Mono>, vm: &VmId, is_reported: bool, now: Mono) {
+    if is_reported {
+        reported_at.insert(vm.clone(), now);
     } else {
-        said.remove(vm);
+        reported_at.remove(vm);
     }
 }
 
-fn counting(said: &BTreeMap<VmId, Mono>, time: Duration, now: Mono) -> BTreeMap<VmId, Mono> {
-    let until = said.iter().map(|(vm, at)| (vm.clone(), at.plus(time)));
+fn valid_until(
+    reported_at: &BTreeMap<VmId, Mono>,
+    valid_for: Duration,
+    now: Mono,
+) -> BTreeMap<VmId, Mono> {
+    let until = reported_at.iter().map(|(vm, at)| (vm.clone(), at.plus(valid_for)));
     until.filter(|(_, until)| now < *until).collect()
 }
--- a/crates/fleet/tests/advertised.rs
+++ b/crates/fleet/tests/advertised.rs
@@ -1,4 +1,4 @@
-//! Whom callers are sent to.
+//! Selection of the entries that are advertised to callers.
 
 #![expect(clippy::unwrap_used, reason = "a test builder may end the test")]
 
@@ -7,177 +7,216 @@
 
 use quickcheck::QuickCheck;
 use shallotfork_fleet::{
-    AdvertisedEntry, Candidate, Regions, active_entries, endpoints_for_caller, fleet_order,
-    with_helpers,
+    AdvertisedEntry, Candidate, Regions, add_overflow_entries, endpoints_for_caller, rank_entries,
+    select_advertised_entries,
 };
 use shallotfork_types::{Endpoint, FailureDomain, PerSecond, Region, VmId};
 
-const HALLS: usize = 3;
+const DOMAINS: usize = 3;
 
-fn hall(number: usize) -> FailureDomain {
+fn domain(number: usize) -> FailureDomain {
     FailureDomain::new(&format!("hall-{number}")).unwrap()
 }
 
-fn active(number: usize, domain: usize, capacity: u32) -> AdvertisedEntry {
+fn advertised_entry(number: usize, domain_number: usize, capacity: u32) -> AdvertisedEntry {
     AdvertisedEntry {
         vm: VmId::new(&format!("vm-{number}")).unwrap(),
-        failure_domain: hall(domain),
+        failure_domain: domain(domain_number),
         callers: format!("10.0.0.{number}:80").parse().unwrap(),
         capacity: PerSecond::new(capacity),
     }
 }
 
-/// Entries in three halls in turn; `(count, strength)`.
-fn fleet(strengths: &[(usize, u32)]) -> Vec<Candidate> {
-    let all = strengths.iter().flat_map(|(count, capacity)| vec![*capacity; *count]);
+/// Ranks entries of `(count, capacity)` groups, spread over three failure domains in rotation.
+fn fleet(groups: &[(usize, u32)]) -> Vec<Candidate> {
+    let capacities = groups.iter().flat_map(|(count, capacity)| vec![*capacity; *count]);
     let candidate = |(number, capacity)| Candidate {
         vm: VmId::new(&format!("vm-{number}")).unwrap(),
-        failure_domain: hall(number % HALLS),
+        failure_domain: domain(number % DOMAINS),
         capacity: PerSecond::new(capacity),
     };
-    fleet_order(all.enumerate().map(candidate).collect())
+    rank_entries(capacities.enumerate().map(candidate).collect())
 }
 
-/// How many entries are named in each hall.
-fn named(targets: usize, order: &[Candidate]) -> [usize; HALLS] {
-    let mut counts = [0; HALLS];
-    for entry in active_entries(targets, order) {
-        let place = (0..HALLS).find(|number| hall(*number) == entry.failure_domain).unwrap();
-        counts[place] += 1;
+/// Returns the number of advertised entries per failure domain.
+fn advertised_counts(target_count: usize, ranking: &[Candidate]) -> [usize; DOMAINS] {
+    let mut counts = [0; DOMAINS];
+    for entry in select_advertised_entries(target_count, ranking) {
+        let index = (0..DOMAINS).find(|number| domain(*number) == entry.failure_domain).unwrap();
+        counts[index] += 1;
     }
     counts
 }
 
-/// One entry was named for callers in three halls. Two of three requests crossed to another hall on
-/// their way to it, and a burst to 1.7 times the load of 36 servers of 6 slots took more processor
-/// time than its VM has: for 12 s after the burst nobody was answered in good time.
+/// Guards against a single advertised entry for three failure domains. Two of three requests
+/// crossed domains on their way to it, and a burst of 1.7 times the load of 36 targets with 6 slots
+/// each took more processor time than its VM has: no response was in time until 12 s after the
+/// burst.
 #[test]
-fn each_failure_domain_has_an_entry_of_its_own() {
-    assert_eq!(named(0, &fleet(&[(14, 333)])), [1, 1, 1]);
-    assert_eq!(named(36, &fleet(&[(19, 333)])), [1, 1, 1]);
-    assert_eq!(named(389, &fleet(&[(6, 833), (135, 104)])), [1, 1, 1]);
-    assert_eq!(named(18_000, &fleet(&[(300, 833)])), [44, 44, 44]);
-    assert_eq!(named(500, &[]), [0, 0, 0]);
+fn each_failure_domain_advertises_an_entry() {
+    assert_eq!(advertised_counts(0, &fleet(&[(14, 333)])), [1, 1, 1]);
+    assert_eq!(advertised_counts(36, &fleet(&[(19, 333)])), [1, 1, 1]);
+    assert_eq!(advertised_counts(389, &fleet(&[(6, 833), (135, 104)])), [1, 1, 1]);
+    assert_eq!(advertised_counts(18_000, &fleet(&[(300, 833)])), [44, 44, 44]);
+    assert_eq!(advertised_counts(500, &[]), [0, 0, 0]);
 }
 
-/// While the strong VMs of a fleet were restarted one after the other, callers were sent to one or
-/// two of them and a weak one, which got as many requests as the strong ones and answered after
-/// seconds.
+/// Guards against a small entry that is advertised next to one or two large ones, as during a
+/// rolling restart of the large VMs: it gets as many requests as these and responds after seconds.
 #[test]
-fn a_weak_entry_is_named_beside_strong_ones_only_if_all_together_carry_more() {
+fn small_entries_are_advertised_only_if_they_raise_total_capacity() {
     let targets = 389;
-    assert_eq!(named(targets, &fleet(&[(2, 833), (135, 104)])), [1, 1, 0], "the strong ones do");
-    assert_eq!(named(targets, &fleet(&[(1, 833), (135, 104)])), [1, 8, 8], "one does not");
-    assert_eq!(named(targets, &fleet(&[(1, 833), (3, 104)])), [1, 0, 0], "better than four");
+    assert_eq!(
+        advertised_counts(targets, &fleet(&[(2, 833), (135, 104)])),
+        [1, 1, 0],
+        "two large entries suffice"
+    );
+    assert_eq!(
+        advertised_counts(targets, &fleet(&[(1, 833), (135, 104)])),
+        [1, 8, 8],
+        "one large entry does not suffice"
+    );
+    assert_eq!(
+        advertised_counts(targets, &fleet(&[(1, 833), (3, 104)])),
+        [1, 0, 0],
+        "one large entry carries more than four entries"
+    );
 }
 
 #[test]
-fn somebody_is_named_whenever_somebody_lives() {
-    fn property(strengths: Vec<u16>, targets: u16) -> bool {
-        let strengths: Vec<(usize, u32)> =
-            strengths.into_iter().map(|capacity| (1, capacity.into())).collect();
-        let order = fleet(&strengths);
-        let active = active_entries(targets.into(), &order);
-        let places = active.iter().map(|entry| order.iter().position(|other| other == entry));
-        active.is_empty() == order.is_empty() && places.is_sorted()
+fn some_entry_is_advertised_whenever_one_is_live() {
+    fn property(capacities: Vec<u16>, targets: u16) -> bool {
+        let groups: Vec<(usize, u32)> =
+            capacities.into_iter().map(|capacity| (1, capacity.into())).collect();
+        let ranking = fleet(&groups);
+        let advertised = select_advertised_entries(targets.into(), &ranking);
+        let positions =
+            advertised.iter().map(|entry| ranking.iter().position(|other| other == entry));
+        advertised.is_empty() == ranking.is_empty() && positions.is_sorted()
     }
     QuickCheck::new().tests(300).quickcheck(property as fn(Vec<u16>, u16) -> bool);
 }
 
-/// A caller in a hall without an entry, or one that does not say where it is, is sent somewhere.
+/// Guards against callers without an endpoint: those in a failure domain without an entry, and
+/// those that do not state their failure domain.
 #[test]
-fn a_caller_is_sent_to_its_own_failure_domain() {
-    let entry = |number, domain| active(number, domain, 833);
-    let none = Regions::new();
-    let named = [entry(1, 0), entry(2, 1), entry(3, 1)];
-    let all: Vec<Endpoint> = named.iter().map(|entry| entry.callers).collect();
-    let sent: BTreeMap<usize, Vec<Endpoint>> = (0..HALLS)
-        .map(|number| (number, endpoints_for_caller(&named, &none, Some(&hall(number)))))
+fn callers_get_the_entries_of_their_failure_domain() {
+    let entry = |number, domain| advertised_entry(number, domain, 833);
+    let no_regions = Regions::new();
+    let advertised = [entry(1, 0), entry(2, 1), entry(3, 1)];
+    let all: Vec<Endpoint> = advertised.iter().map(|entry| entry.callers).collect();
+    let endpoints: BTreeMap<usize, Vec<Endpoint>> = (0..DOMAINS)
+        .map(|number| {
+            (number, endpoints_for_caller(&advertised, &no_regions, Some(&domain(number))))
+        })
         .collect();
-    assert_eq!(sent[&0], all[..1]);
-    assert_eq!(sent[&1], all[1..]);
-    assert_eq!(sent[&2], all);
-    assert_eq!(endpoints_for_caller(&named, &none, None), all);
-    assert!(endpoints_for_caller(&[], &none, Some(&hall(0))).is_empty());
+    assert_eq!(endpoints[&0], all[..1]);
+    assert_eq!(endpoints[&1], all[1..]);
+    assert_eq!(endpoints[&2], all);
+    assert_eq!(endpoints_for_caller(&advertised, &no_regions, None), all);
+    assert!(endpoints_for_caller(&[], &no_regions, Some(&domain(0))).is_empty());
 }
 
-/// Guards against callers who know a single address and wait, when its entry is killed, until they may
-/// ask for another one.
+/// Guards against callers that know a single endpoint and, when its entry is killed, wait until
+/// they may request another one.
 #[test]
-fn a_caller_is_told_other_entries_of_its_region() {
-    let entry = |number, capacity| active(number, number, capacity);
+fn callers_get_the_similar_entries_of_their_region() {
+    let entry = |number, capacity| advertised_entry(number, number, capacity);
     let region = |name: &str| Region::new(name).unwrap();
     let regions: Regions =
-        [(hall(0), region("north")), (hall(1), region("north")), (hall(2), region("south"))].into();
-    let sent = |active: &[AdvertisedEntry], number: usize| {
-        endpoints_for_caller(active, &regions, Some(&hall(number))).len()
+        [(domain(0), region("north")), (domain(1), region("north")), (domain(2), region("south"))]
+            .into();
+    let endpoint_count = |advertised: &[AdvertisedEntry], number: usize| {
+        endpoints_for_caller(advertised, &regions, Some(&domain(number))).len()
     };
-    let alike = [entry(0, 833), entry(1, 500), entry(2, 833)];
-    assert_eq!((0..HALLS).map(|number| sent(&alike, number)).collect::<Vec<_>>(), [2, 2, 1]);
-    let unlike = [entry(0, 833), entry(1, 104), entry(2, 833)];
-    assert_eq!((0..HALLS).map(|number| sent(&unlike, number)).collect::<Vec<_>>(), [1, 1, 1]);
-    assert_eq!(sent(&alike[1..], 0), 1, "the only one of the region");
-    assert_eq!(sent(&alike[2..], 0), 1, "the only one there is");
+    let similar = [entry(0, 833), entry(1, 500), entry(2, 833)];
+    assert_eq!(
+        (0..DOMAINS).map(|number| endpoint_count(&similar, number)).collect::<Vec<_>>(),
+        [2, 2, 1]
+    );
+    let different = [entry(0, 833), entry(1, 104), entry(2, 833)];
+    assert_eq!(
+        (0..DOMAINS).map(|number| endpoint_count(&different, number)).collect::<Vec<_>>(),
+        [1, 1, 1]
+    );
+    assert_eq!(endpoint_count(&similar[1..], 0), 1, "the only entry of the region");
+    assert_eq!(endpoint_count(&similar[2..], 0), 1, "the only entry of the fleet");
 }
 
-/// How many entries are named in each hall, while the first `late` of the first one's hall are behind.
-fn named_with(targets: usize, order: &[Candidate], late: usize) -> Vec<usize> {
-    let usual = active_entries(targets, order);
-    let hall = &usual[0].failure_domain;
-    let here = order.iter().filter(|entry| entry.failure_domain == *hall);
-    let behind: BTreeSet<VmId> = here.take(late).map(|entry| entry.vm.clone()).collect();
-    let named = with_helpers(&usual, order, &behind);
+/// Returns the number of advertised entries per failure domain, starting with the domain of the
+/// first advertised entry, while the first `overloaded_count` entries of that domain are
+/// overloaded.
+fn counts_with_overflow(
+    target_count: usize,
+    ranking: &[Candidate],
+    overloaded_count: usize,
+) -> Vec<usize> {
+    let usual = select_advertised_entries(target_count, ranking);
+    let first_domain = &usual[0].failure_domain;
+    let local = ranking.iter().filter(|entry| entry.failure_domain == *first_domain);
+    let overloaded: BTreeSet<VmId> =
+        local.take(overloaded_count).map(|entry| entry.vm.clone()).collect();
+    let advertised = add_overflow_entries(&usual, ranking, &overloaded);
     let count = |number: usize| {
-        named.iter().filter(|entry| entry.failure_domain == self::hall(number)).count()
+        advertised.iter().filter(|entry| entry.failure_domain == self::domain(number)).count()
     };
-    let others = (0..HALLS).filter(|number| self::hall(*number) != *hall).map(count);
-    let here = named.iter().filter(|entry| entry.failure_domain == *hall).count();
-    iter::once(here).chain(others).collect()
+    let others = (0..DOMAINS).filter(|number| self::domain(*number) != *first_domain).map(count);
+    let local = advertised.iter().filter(|entry| entry.failure_domain == *first_domain).count();
+    iter::once(local).chain(others).collect()
 }
 
-/// Guards against a burst that one entry has no processor time for, while the others of its failure
-/// domain stand idle.
+/// Guards against a burst that exceeds the processor time of one entry while the others of its
+/// failure domain are idle.
 #[test]
-fn an_entry_that_is_behind_gets_others_beside_it() {
+fn overloaded_entries_get_overflow_entries() {
     let small = fleet(&[(15, 333)]);
-    assert_eq!(named_with(33, &small, 0), [1, 1, 1]);
-    assert_eq!(named_with(33, &small, 1), [3, 1, 1]);
-    assert_eq!(named_with(33, &small, 3), [5, 1, 1], "no more than there are");
+    assert_eq!(counts_with_overflow(33, &small, 0), [1, 1, 1]);
+    assert_eq!(counts_with_overflow(33, &small, 1), [3, 1, 1]);
+    assert_eq!(counts_with_overflow(33, &small, 3), [5, 1, 1], "all entries of the domain");
 }
 
-/// Guards against a third of a busy place's callers being sent to a VM with an eighth of the processor
-/// time.
+/// Guards against sending a third of the callers of a busy failure domain to a VM with an eighth of
+/// the processor time.
 #[test]
-fn weak_entries_help_only_where_all_together_carry_more() {
-    let grown = fleet(&[(6, 833), (135, 104)]);
-    assert_eq!(named_with(389, &grown, 1), [2, 1, 1], "the other strong one alone");
-    let few_weak = fleet(&[(6, 833), (15, 104)]);
-    assert_eq!(named_with(389, &few_weak, 2), [2, 1, 1], "five weak ones would not do");
-    assert_eq!(named_with(389, &grown, 10), [21, 1, 1], "so many would");
+fn small_overflow_entries_must_raise_total_capacity() {
+    let many_small = fleet(&[(6, 833), (135, 104)]);
+    assert_eq!(counts_with_overflow(389, &many_small, 1), [2, 1, 1], "only the other large entry");
+    let few_small = fleet(&[(6, 833), (15, 104)]);
+    assert_eq!(
+        counts_with_overflow(389, &few_small, 2),
+        [2, 1, 1],
+        "five small entries carry less"
+    );
+    assert_eq!(
+        counts_with_overflow(389, &many_small, 10),
+        [21, 1, 1],
+        "this many entries carry more"
+    );
 }
 
-/// Guards against a failure domain whose strong entries are all behind while its many weak ones, which
-/// could carry several times as much, stand idle.
+/// Guards against a failure domain whose large entries are all overloaded while its many small
+/// ones, which could carry several times as much, are idle.
 #[test]
-fn weak_entries_help_once_every_strong_one_is_behind() {
-    const STRONG_TOGETHER: usize = 2 * 833;
-    let grown = fleet(&[(6, 833), (135, 104)]);
-    let named_here = named_with(389, &grown, 2)[0];
-    assert!(named_here * 104 > STRONG_TOGETHER, "{named_here} are named");
+fn small_entries_are_added_when_all_large_ones_are_overloaded() {
+    const LARGE_TOTAL: usize = 2 * 833;
+    let many_small = fleet(&[(6, 833), (135, 104)]);
+    let local_count = counts_with_overflow(389, &many_small, 2)[0];
+    assert!(local_count * 104 > LARGE_TOTAL, "{local_count} entries are advertised");
 }
 
 #[test]
-fn nobody_is_left_out_for_being_behind() {
-    fn property(strengths: Vec<u16>, targets: u16, late: Vec<u8>) -> bool {
-        let strengths: Vec<(usize, u32)> =
-            strengths.into_iter().map(|capacity| (1, capacity.into())).collect();
-        let order = fleet(&strengths);
-        let usual = active_entries(targets.into(), &order);
+fn overloaded_entries_stay_advertised() {
+    fn property(capacities: Vec<u16>, targets: u16, overloaded: Vec<u8>) -> bool {
+        let groups: Vec<(usize, u32)> =
+            capacities.into_iter().map(|capacity| (1, capacity.into())).collect();
+        let ranking = fleet(&groups);
+        let usual = select_advertised_entries(targets.into(), &ranking);
         let vm = |number: u8| VmId::new(&format!("vm-{number}")).unwrap();
-        let behind: BTreeSet<VmId> = late.into_iter().map(vm).collect();
-        let named = with_helpers(&usual, &order, &behind);
-        let places = named.iter().map(|entry| order.iter().position(|other| other == entry));
-        usual.iter().all(|entry| named.contains(entry)) && places.is_sorted()
+        let overloaded: BTreeSet<VmId> = overloaded.into_iter().map(vm).collect();
+        let advertised = add_overflow_entries(&usual, &ranking, &overloaded);
+        let positions =
+            advertised.iter().map(|entry| ranking.iter().position(|other| other == entry));
+        usual.iter().all(|entry| advertised.contains(entry)) && positions.is_sorted()
     }
     QuickCheck::new().tests(300).quickcheck(property as fn(Vec<u16>, u16, Vec<u8>) -> bool);
 }
--- a/crates/fleet/tests/contacts.rs
+++ b/crates/fleet/tests/contacts.rs
@@ -1,160 +1,172 @@
-//! Whom entries exchange heartbeats with, in fleets of hundreds.
+//! Selection of heartbeat contacts in fleets of hundreds of entries.
 
 #![expect(clippy::unwrap_used, reason = "a test builder may end the test")]
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use shallotfork_fleet::{
-    Candidate, Contacts, Standing, active_entries, choose_readers, contacts, fleet_order, heads,
-    may_have_to_read, near_periods,
+    Candidate, Contacts, FleetPosition, choose_readers, local_interval_periods, may_become_reader,
+    rank_entries, select_advertised_entries, select_contacts, select_core_entries,
 };
 use shallotfork_types::{FailureDomain, PerSecond, VmId};
 
-const HALLS: usize = 5;
-const TARGETS: usize = 809;
-const STRONG: u32 = 833;
-const WEAK: u32 = 104;
+const DOMAINS: usize = 5;
+const TARGET_COUNT: usize = 809;
+const LARGE_CAPACITY: u32 = 833;
+const SMALL_CAPACITY: u32 = 104;
 
-/// Entries in five halls in turn; `(count, strength)`.
-fn fleet(strengths: &[(usize, u32)]) -> Vec<Candidate> {
-    let all = strengths.iter().flat_map(|(count, capacity)| vec![*capacity; *count]);
+/// Ranks entries of `(count, capacity)` groups, spread over five failure domains in rotation.
+fn fleet(groups: &[(usize, u32)]) -> Vec<Candidate> {
+    let capacities = groups.iter().flat_map(|(count, capacity)| vec![*capacity; *count]);
     let candidate = |(number, capacity)| Candidate {
         vm: VmId::new(&format!("vm-{number}")).unwrap(),
-        failure_domain: FailureDomain::new(&format!("hall-{}", number % HALLS)).unwrap(),
+        failure_domain: FailureDomain::new(&format!("hall-{}", number % DOMAINS)).unwrap(),
         capacity: PerSecond::new(capacity),
     };
-    fleet_order(all.enumerate().map(candidate).collect())
+    rank_entries(capacities.enumerate().map(candidate).collect())
 }
 
 fn large_fleet() -> Vec<Candidate> {
-    fleet(&[(15, STRONG), (457, WEAK)])
+    fleet(&[(15, LARGE_CAPACITY), (457, SMALL_CAPACITY)])
 }
 
-fn named(order: &[Candidate]) -> BTreeSet<VmId> {
-    active_entries(TARGETS, order).into_iter().map(|entry| entry.vm).collect()
+fn advertised(ranking: &[Candidate]) -> BTreeSet<VmId> {
+    select_advertised_entries(TARGET_COUNT, ranking).into_iter().map(|entry| entry.vm).collect()
 }
 
-/// Everybody's contacts, of a fleet in which all know all.
-fn all_contacts(order: &[Candidate]) -> BTreeMap<VmId, Contacts> {
-    let names: Vec<VmId> = order.iter().map(|entry| entry.vm.clone()).collect();
-    let readers = choose_readers(&names, &BTreeSet::new());
-    let named = named(order);
-    let of = |own: &Candidate| {
-        let here = order.iter().filter(|entry| entry.failure_domain == own.failure_domain);
-        contacts(&Standing {
+/// Returns the contacts of each entry in a fleet in which all entries know each other.
+fn all_contacts(ranking: &[Candidate]) -> BTreeMap<VmId, Contacts> {
+    let vms: Vec<VmId> = ranking.iter().map(|entry| entry.vm.clone()).collect();
+    let readers = choose_readers(&vms, &BTreeSet::new());
+    let advertised = advertised(ranking);
+    let contacts_of = |own: &Candidate| {
+        let local = ranking.iter().filter(|entry| entry.failure_domain == own.failure_domain);
+        select_contacts(&FleetPosition {
             own,
-            order,
+            ranking,
             readers: &readers,
-            named: &named,
-            may_have_to_read: false,
-            domain_entries: here.count(),
+            advertised: &advertised,
+            may_become_reader: false,
+            domain_entries: local.count(),
         })
     };
-    order.iter().map(|own| (own.vm.clone(), of(own))).collect()
+    ranking.iter().map(|own| (own.vm.clone(), contacts_of(own))).collect()
 }
 
-/// Each of 472 entries sent heartbeats to the first ones and the readers of other failure domains:
-/// 5,000 a second, of which half crossed, more bytes than the requests that they were for.
+/// Guards against heartbeats of every entry to the leading entries and readers of other failure
+/// domains. With 472 entries these were 5,000 a second, half of them across domains, and took more
+/// bytes than the requests.
 #[test]
-fn what_crosses_failure_domains_does_not_grow_with_the_fleet() {
-    let crossing_per_period = |order: &[Candidate]| -> f64 {
+fn cross_domain_heartbeats_do_not_grow_with_the_fleet() {
+    let crossing_per_period = |ranking: &[Candidate]| -> f64 {
         let domains: BTreeMap<&VmId, &FailureDomain> =
-            order.iter().map(|entry| (&entry.vm, &entry.failure_domain)).collect();
-        let all = all_contacts(order);
-        let of_one = |(own, contacts): (&VmId, &Contacts)| {
-            let far = contacts.watched.iter().filter(|vm| domains[vm] != domains[own]).count();
-            let watched = far as f64 / f64::from(contacts.watched_periods);
-            let turns = f64::from(u8::from(!contacts.in_turn.is_empty()));
-            watched + turns / f64::from(contacts.in_turn_periods)
+            ranking.iter().map(|entry| (&entry.vm, &entry.failure_domain)).collect();
+        let all = all_contacts(ranking);
+        let crossing_of = |(own, contacts): (&VmId, &Contacts)| {
+            let remote = contacts.monitored.iter().filter(|vm| domains[vm] != domains[own]).count();
+            let monitored = remote as f64 / f64::from(contacts.monitored_interval_periods);
+            let rotating = f64::from(u8::from(!contacts.rotating.is_empty()));
+            monitored + rotating / f64::from(contacts.rotating_interval_periods)
         };
-        all.iter().map(of_one).sum()
+        all.iter().map(crossing_of).sum()
     };
     let large = crossing_per_period(&large_fleet());
-    let larger = crossing_per_period(&fleet(&[(15, STRONG), (2842, WEAK)]));
+    let larger = crossing_per_period(&fleet(&[(15, LARGE_CAPACITY), (2842, SMALL_CAPACITY)]));
     assert!(large < 25.0, "{large}");
     assert_eq!(large, larger);
 }
 
 #[test]
-fn no_entry_takes_more_heartbeats_than_a_period_bears() {
-    let mut taken: BTreeMap<VmId, f64> = BTreeMap::new();
+fn received_heartbeats_per_period_are_bounded() {
+    let mut received: BTreeMap<VmId, f64> = BTreeMap::new();
     for contacts in all_contacts(&large_fleet()).values() {
-        for vm in &contacts.watched {
-            *taken.entry(vm.clone()).or_default() += 1.0 / f64::from(contacts.watched_periods);
+        for vm in &contacts.monitored {
+            *received.entry(vm.clone()).or_default() +=
+                1.0 / f64::from(contacts.monitored_interval_periods);
         }
     }
-    let most = taken.values().copied().fold(0.0, f64::max);
+    let most = received.values().copied().fold(0.0, f64::max);
     assert!(most < 30.0, "{most}");
 }
 
-/// All strong entries of a hall are lost and ten weak ones are named in their place. An entry that
-/// none of the others watched would go on being named to callers after its end.
+/// Guards against an advertised entry that no other one monitors and that stays advertised after
+/// its end, as when all large entries of a failure domain are lost and ten small ones replace them.
 #[test]
-fn whoever_callers_are_sent_to_is_watched_at_every_period() {
-    for order in [large_fleet(), fleet(&[(457, WEAK)]), fleet(&[(3, STRONG)])] {
-        let all = all_contacts(&order);
-        for vm in named(&order) {
-            let watchers = all.iter().filter(|(own, contacts)| {
-                **own != vm && contacts.watched_periods == 1 && contacts.watched.contains(&vm)
+fn advertised_entries_are_monitored_in_every_period() {
+    for ranking in [large_fleet(), fleet(&[(457, SMALL_CAPACITY)]), fleet(&[(3, LARGE_CAPACITY)])] {
+        let all = all_contacts(&ranking);
+        for vm in advertised(&ranking) {
+            let monitors = all.iter().filter(|(own, contacts)| {
+                **own != vm
+                    && contacts.monitored_interval_periods == 1
+                    && contacts.monitored.contains(&vm)
             });
-            assert!(watchers.count() >= 2, "{vm} of {}", order.len());
+            assert!(monitors.count() >= 2, "{vm} of {}", ranking.len());
         }
     }
 }
 
-/// The platform turns the first entries away. Those that come next in turn hear at every period who
-/// still reads, wherever they stand; the rest of the fleet is told by the first ones near it.
+/// Guards against entries that learn too late that they have to read after the platform has
+/// rejected the first readers. The next candidates receive heartbeats of the readers in every
+/// period, in whichever failure domain these are; other entries rely on the leading entries near
+/// them.
 #[test]
-fn whoever_may_have_to_read_hears_the_readers_at_every_period() {
-    let order = large_fleet();
-    let names: Vec<VmId> = order.iter().map(|entry| entry.vm.clone()).collect();
-    let blind = BTreeSet::from([names[0].clone()]);
-    let readers = choose_readers(&names, &blind);
-    let (next, last) = (&order[8], &order[9]);
-    assert!(may_have_to_read(&next.vm, &names, &blind));
-    assert!(!may_have_to_read(&last.vm, &names, &blind));
-    assert!(!may_have_to_read(&next.vm, &names, &BTreeSet::new()));
-    let standing = Standing {
-        own: next,
-        order: &order,
+fn possible_readers_monitor_the_readers_in_every_period() {
+    let ranking = large_fleet();
+    let vms: Vec<VmId> = ranking.iter().map(|entry| entry.vm.clone()).collect();
+    let disconnected = BTreeSet::from([vms[0].clone()]);
+    let readers = choose_readers(&vms, &disconnected);
+    let (last_candidate, first_other) = (&ranking[8], &ranking[9]);
+    assert!(may_become_reader(&last_candidate.vm, &vms, &disconnected));
+    assert!(!may_become_reader(&first_other.vm, &vms, &disconnected));
+    assert!(!may_become_reader(&last_candidate.vm, &vms, &BTreeSet::new()));
+    let position = FleetPosition {
+        own: last_candidate,
+        ranking: &ranking,
         readers: &readers,
-        named: &named(&order),
-        may_have_to_read: true,
+        advertised: &advertised(&ranking),
+        may_become_reader: true,
         domain_entries: 90,
     };
-    let contacts = contacts(&standing);
-    assert_eq!(contacts.watched_periods, 1);
-    assert!(readers.iter().all(|vm| *vm == next.vm || contacts.watched.contains(vm)));
+    let contacts = select_contacts(&position);
+    assert_eq!(contacts.monitored_interval_periods, 1);
+    assert!(readers.iter().all(|vm| *vm == last_candidate.vm || contacts.monitored.contains(vm)));
 }
 
 #[test]
-fn an_entry_that_knows_nobody_has_no_contacts() {
+fn an_entry_without_known_entries_has_no_contacts() {
     let own = large_fleet().remove(20);
-    let standing = Standing {
+    let position = FleetPosition {
         own: &own,
-        order: &[],
+        ranking: &[],
         readers: &[],
-        named: &BTreeSet::new(),
-        may_have_to_read: false,
+        advertised: &BTreeSet::new(),
+        may_become_reader: false,
         domain_entries: 1,
     };
-    let contacts = contacts(&standing);
-    assert!(contacts.watched.is_empty() && contacts.in_turn.is_empty() && contacts.relays);
+    let contacts = select_contacts(&position);
+    assert!(
+        contacts.monitored.is_empty() && contacts.rotating.is_empty() && contacts.forwards_updates
+    );
 }
 
-/// With all of 472 entries told of all others, a common start took 90 KB of news for each new
-/// contact.
+/// Guards against sending updates about all entries to all others: with 472 entries, each new
+/// contact took 90 KB of updates at a simultaneous start.
 #[test]
-fn the_fleet_knows_a_bounded_part_of_each_failure_domain() {
-    let count = |order: &[Candidate]| heads(order, &named(order)).len();
-    assert_eq!(count(&large_fleet()), 12 * HALLS);
-    assert_eq!(count(&fleet(&[(15, STRONG), (2842, WEAK)])), 12 * HALLS);
-    assert_eq!(count(&fleet(&[(14, WEAK)])), 14);
-    let weak = fleet(&[(457, WEAK)]);
-    assert_eq!(count(&weak), named(&weak).len() + 3 * HALLS, "all that are named, and the next");
-    let order = large_fleet();
-    let places = heads(&order, &named(&order));
-    let places = places.iter().map(|vm| order.iter().position(|entry| entry.vm == *vm));
-    assert!(places.is_sorted(), "in the order of the fleet");
-    assert_eq!(near_periods(order.len() / HALLS), 5);
+fn core_entries_per_failure_domain_are_bounded() {
+    let count = |ranking: &[Candidate]| select_core_entries(ranking, &advertised(ranking)).len();
+    assert_eq!(count(&large_fleet()), 12 * DOMAINS);
+    assert_eq!(count(&fleet(&[(15, LARGE_CAPACITY), (2842, SMALL_CAPACITY)])), 12 * DOMAINS);
+    assert_eq!(count(&fleet(&[(14, SMALL_CAPACITY)])), 14);
+    let small = fleet(&[(457, SMALL_CAPACITY)]);
+    assert_eq!(
+        count(&small),
+        advertised(&small).len() + 3 * DOMAINS,
+        "all advertised entries and the next ones"
+    );
+    let ranking = large_fleet();
+    let positions = select_core_entries(&ranking, &advertised(&ranking));
+    let positions = positions.iter().map(|vm| ranking.iter().position(|entry| entry.vm == *vm));
+    assert!(positions.is_sorted(), "in the order of the ranking");
+    assert_eq!(local_interval_periods(ranking.len() / DOMAINS), 5);
 }
--- a/crates/fleet/tests/convergence.rs
+++ b/crates/fleet/tests/convergence.rs
@@ -1,20 +1,21 @@
-//! Fleets of hundreds of entries find together, at what price, and after which losses.
+//! Convergence of fleets of hundreds of entries after starts, losses and partitions, and its cost.
 
 #![expect(clippy::unwrap_used, reason = "a test builder may end the test")]
 
 mod support;
 
 use shallotfork_types::FailureDomain;
-use support::{Model, STRONG, WEAK};
+use support::{LARGE_CAPACITY, Model, SMALL_CAPACITY};
 
 const SEEDS: std::ops::Range<u64> = 1..3;
-/// Callers keep an answer for 1.5 s; what the fleet names has to be right again about as soon.
+/// Callers keep a response for 1.5 s; the advertised entries have to be correct again about as
+/// soon.
 const START_MAX_MS: u64 = 2_500;
 const LOSS_MAX_MS: u64 = 5_000;
 const HEAL_MAX_MS: u64 = 3_500;
 
 fn large(seed: u64) -> Model {
-    Model::new(seed, 5, &[(15, STRONG), (457, WEAK)])
+    Model::new(seed, 5, &[(15, LARGE_CAPACITY), (457, SMALL_CAPACITY)])
 }
 
 fn running(seed: u64) -> Model {
@@ -24,10 +25,10 @@
     model
 }
 
-/// All entries start at once and know three seeds, one of which stays down. Callers would be sent to
-/// the first that knows only itself, and to another one by each.
+/// Guards against entries that advertise themselves, or differ in what they advertise, when all
+/// start at once with three known seeds, one of which stays down.
 #[test]
-fn a_common_start_ends_with_one_answer() {
+fn a_simultaneous_start_converges() {
     for seed in SEEDS {
         let mut model = large(seed);
         model.start_all();
@@ -35,145 +36,161 @@
     }
 }
 
-/// With each new contact told of all others, a common start of 472 took a gigabyte.
+/// Guards against sending updates about all entries to each new contact: a simultaneous start of
+/// 472 entries took a gigabyte.
 #[test]
-fn what_a_start_takes_grows_with_the_fleet_and_not_with_its_square() {
-    let cost_each = |strengths: &[(usize, u32)]| {
-        let mut model = Model::new(1, 5, strengths);
+fn start_cost_per_entry_is_bounded() {
+    let cost_per_entry = |groups: &[(usize, u32)]| {
+        let mut model = Model::new(1, 5, groups);
         model.start_all();
         model.run_for(5_000);
-        let count: usize = strengths.iter().map(|(count, _)| count).sum();
-        (model.sent / count, model.news / count)
+        let count: usize = groups.iter().map(|(count, _)| count).sum();
+        (model.sent_heartbeats / count, model.sent_updates / count)
     };
-    let (sent, news) = cost_each(&[(15, STRONG), (457, WEAK)]);
-    let (sent_larger, news_larger) = cost_each(&[(15, STRONG), (1400, WEAK)]);
-    assert!(sent < 120 && news < 3_000, "{sent} {news}");
-    assert!(sent_larger < 120 && news_larger < 3_000, "{sent_larger} {news_larger}");
+    let (heartbeats, updates) = cost_per_entry(&[(15, LARGE_CAPACITY), (457, SMALL_CAPACITY)]);
+    let (heartbeats_larger, updates_larger) =
+        cost_per_entry(&[(15, LARGE_CAPACITY), (1400, SMALL_CAPACITY)]);
+    assert!(heartbeats < 120 && updates < 3_000, "{heartbeats} {updates}");
+    assert!(
+        heartbeats_larger < 120 && updates_larger < 3_000,
+        "{heartbeats_larger} {updates_larger}"
+    );
 }
 
-/// Once nothing happens any more, nobody has anything to tell.
+/// Guards against updates and frequent heartbeats in a fleet without state changes.
 #[test]
-fn a_fleet_at_rest_tells_no_news_and_keeps_to_few_heartbeats() {
+fn an_idle_fleet_sends_few_heartbeats_and_updates() {
     let mut model = running(1);
     model.run_for(5_000);
-    (model.sent, model.crossed, model.news) = (0, 0, 0);
+    (model.sent_heartbeats, model.cross_domain_heartbeats, model.sent_updates) = (0, 0, 0);
     model.run_for(5_000);
-    let per_entry_and_s = model.sent / 472 / 5;
-    assert!(model.crossed < 5_000, "{} of {} cross", model.crossed, model.sent);
+    let per_entry_and_s = model.sent_heartbeats / 472 / 5;
+    assert!(
+        model.cross_domain_heartbeats < 5_000,
+        "{} of {} cross failure domains",
+        model.cross_domain_heartbeats,
+        model.sent_heartbeats
+    );
     assert!(per_entry_and_s <= 12, "{per_entry_and_s}");
-    assert!(model.news < 472, "{}", model.news);
+    assert!(model.sent_updates < 472, "{}", model.sent_updates);
 }
 
-/// More than half of all VMs lose power at once, the entries that callers are sent to among them.
+/// Guards against outdated views after more than half of all VMs, including advertised ones, lose
+/// power at once.
 #[test]
-fn the_loss_of_half_of_a_fleet_is_known_to_the_rest() {
+fn the_fleet_converges_after_losing_half_of_its_entries() {
     for seed in SEEDS {
         let mut model = running(seed);
-        model.lose(|index, _| index % 9 < 5);
+        model.kill(|index, _| index % 9 < 5);
         assert!(model.converge(LOSS_MAX_MS).is_some(), "seed {seed}");
         model.start_all();
         assert!(model.converge(HEAL_MAX_MS).is_some(), "seed {seed}, after their return");
     }
 }
 
-/// All strong entries are lost; ten weak ones are named in each hall, as many as carry the load.
+/// Guards against outdated views after the loss of all large entries. In each failure domain ten
+/// small ones are then advertised, as many as carry the load.
 #[test]
-fn the_loss_of_all_strong_entries_is_known_to_the_rest() {
+fn the_fleet_converges_after_losing_all_large_entries() {
     for seed in SEEDS {
         let mut model = running(seed);
-        model.lose(|_, vm| vm.capacity.value() == STRONG);
+        model.kill(|_, vm| vm.capacity.value() == LARGE_CAPACITY);
         assert!(model.converge(LOSS_MAX_MS).is_some(), "seed {seed}");
     }
 }
 
-/// All processes are killed and start anew, with nothing left of what they knew.
+/// Guards against a fleet that does not form again after all processes were killed and their state
+/// was lost.
 #[test]
-fn a_fleet_that_was_lost_whole_finds_together_again() {
+fn the_fleet_converges_after_a_full_restart() {
     for seed in SEEDS {
         let mut model = running(seed);
-        model.lose(|_, _| true);
+        model.kill(|_, _| true);
         model.run_for(1_000);
         model.start_all();
         assert!(model.converge(START_MAX_MS).is_some(), "seed {seed}");
     }
 }
 
-/// A switch cuts a hall off for six seconds. Its entries name their own meanwhile; once it is mended,
-/// callers must be sent to the same entries by all again.
+/// Guards against views that stay different after a failed switch has partitioned a failure domain
+/// for six seconds, during which it advertises only its own entries.
 #[test]
-fn a_hall_that_was_cut_off_finds_back() {
+fn the_fleet_converges_after_a_partition_of_one_failure_domain() {
     for seed in SEEDS {
         let mut model = running(seed);
-        let hall = FailureDomain::new("hall-2").unwrap();
-        model.cut.insert(hall);
+        let partitioned = FailureDomain::new("hall-2").unwrap();
+        model.partitioned_domains.insert(partitioned);
         model.run_for(6_000);
-        let (inside, outside) = (model.named_by(2 + 5 * 50), model.named_by(3 + 5 * 50));
-        assert_ne!(inside, outside, "each side goes by what it sees");
-        model.cut.clear();
+        let (inside, outside) = (model.advertised_by(2 + 5 * 50), model.advertised_by(3 + 5 * 50));
+        assert_ne!(inside, outside, "each side has its own view");
+        model.partitioned_domains.clear();
         assert!(model.converge(HEAL_MAX_MS).is_some(), "seed {seed}");
     }
 }
 
-/// All halls are cut off from each other at once.
+/// Guards against views that stay different after all failure domains were partitioned from each
+/// other.
 #[test]
-fn halls_that_were_all_cut_off_find_back() {
+fn the_fleet_converges_after_a_partition_of_all_failure_domains() {
     for seed in SEEDS {
         let mut model = running(seed);
-        model.cut =
-            (0..5).map(|hall| FailureDomain::new(&format!("hall-{hall}")).unwrap()).collect();
+        model.partitioned_domains =
+            (0..5).map(|number| FailureDomain::new(&format!("hall-{number}")).unwrap()).collect();
         model.run_for(6_000);
-        model.cut.clear();
+        model.partitioned_domains.clear();
         assert!(model.converge(HEAL_MAX_MS).is_some(), "seed {seed}");
     }
 }
 
-/// An entry that has met another one by chance learns of its end from nobody.
+/// Guards against entries met by chance that count as live for minutes, since nobody reports their
+/// end.
 #[test]
-fn everybody_still_knows_the_same_after_minutes() {
-    let mut model = Model::new(1, 3, &[(6, STRONG), (60, WEAK)]);
+fn views_stay_consistent_for_minutes() {
+    let mut model = Model::new(1, 3, &[(6, LARGE_CAPACITY), (60, SMALL_CAPACITY)]);
     model.start_all();
     model.run_for(90_000);
-    model.lose(|index, _| index % 3 == 1);
+    model.kill(|index, _| index % 3 == 1);
     assert!(model.converge(LOSS_MAX_MS).is_some());
     model.run_for(90_000);
     assert!(model.converge(LOSS_MAX_MS).is_some());
 }
 
-/// Guards against callers of a failure domain who are sent to an entry without processor time for them
-/// for as long as a burst lasts, or to its helpers for ever.
+/// Guards against callers that are sent to an overloaded entry for as long as a burst lasts, or to
+/// its overflow entries forever.
 #[test]
-fn the_failure_domain_of_an_entry_that_is_behind_names_another_one_for_a_time() {
-    const HEARD_MAX_MS: u64 = 1_500;
-    const FORGOTTEN_MAX_MS: u64 = 7_500;
+fn overflow_entries_are_advertised_during_an_overload() {
+    const OVERFLOW_MAX_MS: u64 = 1_500;
+    const RECOVERY_MAX_MS: u64 = 7_500;
     for seed in SEEDS {
         let mut model = running(seed);
-        let usual = model.expected();
-        let late = model.index_of(&usual[0]);
-        let others: Vec<usize> = model.domain_of(late);
-        model.set_behind(late, true);
-        model.run_for(HEARD_MAX_MS);
-        for index in others.iter().copied() {
-            let named = model.named_by(index).unwrap();
-            let here = named.iter().filter(|vm| others.contains(&model.index_of(vm))).count();
-            assert_eq!(here, 3, "seed {seed}: {index} names {named:?}");
+        let usual = model.expected_advertised();
+        let overloaded = model.index_of(&usual[0]);
+        let local: Vec<usize> = model.entries_in_domain_of(overloaded);
+        model.set_overloaded(overloaded, true);
+        model.run_for(OVERFLOW_MAX_MS);
+        for index in local.iter().copied() {
+            let advertised = model.advertised_by(index).unwrap();
+            let local_count =
+                advertised.iter().filter(|vm| local.contains(&model.index_of(vm))).count();
+            assert_eq!(local_count, 3, "seed {seed}: {index} advertises {advertised:?}");
         }
-        model.set_behind(late, false);
-        assert!(model.converge(FORGOTTEN_MAX_MS).is_some(), "seed {seed}");
+        model.set_overloaded(overloaded, false);
+        assert!(model.converge(RECOVERY_MAX_MS).is_some(), "seed {seed}");
     }
 }
 
-/// Guards against help that comes once only.
+/// Guards against overflow entries that are advertised for the first overload only.
 #[test]
-fn an_entry_that_is_behind_again_is_helped_again() {
+fn a_second_overload_adds_overflow_entries_again() {
     let mut model = running(1);
-    let late = model.index_of(&model.expected()[0]);
-    let usual = model.expected().len();
+    let overloaded = model.index_of(&model.expected_advertised()[0]);
+    let usual_count = model.expected_advertised().len();
     for _ in 0..2 {
-        model.set_behind(late, true);
+        model.set_overloaded(overloaded, true);
         model.run_for(1_500);
-        assert!(model.named_by(late).unwrap().len() > usual);
-        model.set_behind(late, false);
+        assert!(model.advertised_by(overloaded).unwrap().len() > usual_count);
+        model.set_overloaded(overloaded, false);
         model.run_for(9_000);
-        assert_eq!(model.named_by(late).unwrap().len(), usual);
+        assert_eq!(model.advertised_by(overloaded).unwrap().len(), usual_count);
     }
 }
--- a/crates/fleet/tests/crashing_request.rs
+++ b/crates/fleet/tests/crashing_request.rs
@@ -9,22 +9,22 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use shallotfork_types::Mono;
-use support::{Model, STRONG, WEAK};
+use support::{LARGE_CAPACITY, Model, SMALL_CAPACITY};
 
 const SEEDS: std::ops::Range<u64> = 1..5;
-/// Time after the third crash within which all entries must refuse the request. Entries with a
-/// shorter uptime may still send it.
+/// Time from the third crash until all entries must reject the request. Entries with a shorter
+/// uptime may still send it.
 const PROPAGATION_MAX: Duration = Duration::from_millis(3_000);
 /// Number of later sends that are tolerated.
 const LATE_SENDS_MAX: usize = 3;
 const REPEAT_DURATION_MS: u64 = 12_000;
 
 fn fleet(seed: u64) -> Model {
-    start(Model::new(seed, 3, &[(15, STRONG), (60, WEAK)]))
+    start(Model::new(seed, 3, &[(15, LARGE_CAPACITY), (60, SMALL_CAPACITY)]))
 }
 
 fn large_fleet(seed: u64) -> Model {
-    start(Model::new(seed, 5, &[(15, STRONG), (457, WEAK)]))
+    start(Model::new(seed, 5, &[(15, LARGE_CAPACITY), (457, SMALL_CAPACITY)]))
 }
 
 fn start(mut model: Model) -> Model {
@@ -33,7 +33,7 @@
     model
 }
 
-/// Repeats the request with pauses of up to `pause_ms`, mostly at entries that are named to callers.
+/// Repeats the request with pauses of up to `pause_ms`, mostly at advertised entries.
 fn repeat_crashing_request(
     model: &mut Model,
     seed: u64,
@@ -42,13 +42,13 @@
 ) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut elapsed_ms = 0;
-    let named = model.expected();
+    let advertised = model.expected_advertised();
     while elapsed_ms < REPEAT_DURATION_MS {
         let wait_ms = rng.random_range(1..=pause_ms);
         model.run_for(wait_ms);
         elapsed_ms += wait_ms;
         let index = if rng.random_bool(0.9) {
-            model.index_of(&named[rng.random_range(0..named.len())])
+            model.index_of(&advertised[rng.random_range(0..advertised.len())])
         } else {
             rng.random_range(0..75)
         };
@@ -65,7 +65,7 @@
     late.filter(|send| send.sender_uptime >= PROPAGATION_MAX).count()
 }
 
-fn check_refused(mut model: Model, seed: u64, pause_ms: u64) {
+fn check_rejected(mut model: Model, seed: u64, pause_ms: u64) {
     repeat_crashing_request(&mut model, seed, pause_ms, |_, _| {});
     let (late, crashes) = (late_sends(&model), model.crashes.len());
     let summary = format!("seed {seed}, pause {pause_ms}: {late} late sends, {crashes} crashes");
@@ -75,25 +75,25 @@
 
 /// Guards against continued crashes because entries do not share their crash records.
 #[test]
-fn a_crashing_request_is_refused_by_all_entries_soon_after_the_third_crash() {
+fn all_entries_reject_a_crashing_request_after_the_third_crash() {
     for seed in SEEDS {
         for pause_ms in [20, 200, 2_000] {
-            check_refused(fleet(seed), seed, pause_ms);
+            check_rejected(fleet(seed), seed, pause_ms);
         }
     }
 }
 
 /// Guards against slow or displaced reports in a fleet where most entries call only a few others.
 #[test]
-fn a_crashing_request_is_refused_by_all_entries_of_a_large_fleet() {
+fn all_entries_of_a_large_fleet_reject_a_crashing_request() {
     for pause_ms in [20, 2_000] {
-        check_refused(large_fleet(1), 1, pause_ms);
+        check_rejected(large_fleet(1), 1, pause_ms);
     }
 }
 
 /// Guards against losing the quarantine with a dropped message or a restarted process.
 #[test]
-fn a_crashing_request_stays_refused_over_lost_messages_and_restarts() {
+fn the_quarantine_survives_lost_messages_and_restarts() {
     for seed in SEEDS {
         let mut model = fleet(seed);
         model.loss_rate = 0.1;
@@ -101,7 +101,7 @@
         repeat_crashing_request(&mut model, seed, 200, |model, elapsed_ms| {
             if elapsed_ms / 1_000 > restarts {
                 restarts = elapsed_ms / 1_000;
-                model.lose(|index, _| index as u64 % 5 == restarts % 5);
+                model.kill(|index, _| index as u64 % 5 == restarts % 5);
                 model.start_all();
             }
         });
@@ -116,7 +116,7 @@
     for seed in SEEDS {
         let mut model = fleet(seed);
         repeat_crashing_request(&mut model, seed, 200, |_, _| {});
-        model.lose(|_, _| true);
+        model.kill(|_, _| true);
         model.run_for(1_000);
         model.start_all();
         model.run_for(500);
@@ -128,10 +128,10 @@
 
 /// Guards against a failure domain that sends the request after a network partition has healed.
 #[test]
-fn a_failure_domain_that_was_cut_off_learns_of_the_quarantine() {
+fn a_healed_partition_receives_the_quarantine() {
     for seed in SEEDS {
         let mut model = fleet(seed);
-        model.cut.insert("hall-1".parse().unwrap());
+        model.partitioned_domains.insert("hall-1".parse().unwrap());
         model.run_for(2_000);
         // Only entries outside the partitioned failure domain receive the request.
         for index in [0, 3, 6, 9, 0, 3, 6, 9] {
@@ -140,7 +140,7 @@
         }
         model.run_for(4_000);
         assert!(model.entries_without_quarantine() > 0, "seed {seed}");
-        model.cut.clear();
+        model.partitioned_domains.clear();
         model.run_for(3_000);
         assert_eq!(model.entries_without_quarantine(), 0, "seed {seed}");
     }
--- a/crates/fleet/tests/ranking.rs
+++ b/crates/fleet/tests/ranking.rs
@@ -1,11 +1,11 @@
-//! The order of entries.
+//! Ranking of entries.
 
 #![expect(clippy::unwrap_used, reason = "a test builder may end the test")]
 
 use std::collections::BTreeSet;
 
 use quickcheck::QuickCheck;
-use shallotfork_fleet::{Candidate, fleet_order};
+use shallotfork_fleet::{Candidate, rank_entries};
 use shallotfork_types::{FailureDomain, PerSecond, VmId};
 
 fn vm(number: usize) -> VmId {
@@ -17,41 +17,44 @@
     Candidate { vm: vm(number), failure_domain, capacity: PerSecond::new(capacity) }
 }
 
-/// Entries agree on the order whatever the order in which they heard of each other.
+/// Guards against entries that disagree on the ranking because they met in a different order.
 #[test]
-fn the_order_is_the_same_for_all() {
-    fn property(entries: Vec<u8>) -> bool {
-        let mut candidates: Vec<Candidate> = entries
+fn the_ranking_does_not_depend_on_the_input_order() {
+    fn property(capacities: Vec<u8>) -> bool {
+        let mut candidates: Vec<Candidate> = capacities
             .iter()
             .enumerate()
             .map(|(number, capacity)| candidate(number, (*capacity).into()))
             .collect();
-        let order = fleet_order(candidates.clone());
+        let ranking = rank_entries(candidates.clone());
         candidates.reverse();
-        order == fleet_order(candidates)
+        ranking == rank_entries(candidates)
     }
     QuickCheck::new().tests(300).quickcheck(property as fn(Vec<u8>) -> bool);
 }
 
 #[test]
-fn strong_entries_come_first() {
-    let order = fleet_order(vec![candidate(1, 100), candidate(2, 900), candidate(3, 100)]);
-    assert_eq!(order.first().map(|candidate| candidate.vm.as_str()), Some("vm-2"));
+fn entries_of_higher_capacity_rank_first() {
+    let ranking = rank_entries(vec![candidate(1, 100), candidate(2, 900), candidate(3, 100)]);
+    assert_eq!(ranking.first().map(|candidate| candidate.vm.as_str()), Some("vm-2"));
 }
 
-/// Six strong VMs stood in three halls, and two of the three that were named in one of them: half
-/// of all requests crossed to another hall.
+/// Guards against a concentration in one failure domain. With six large VMs in three domains, two
+/// of the three advertised ones were in the same domain, and half of all requests crossed to
+/// another one.
 #[test]
-fn failure_domains_take_turns_among_equally_strong_entries() {
-    let order = fleet(&[(6, 833), (30, 104)]);
-    for halls in [&order[..3], &order[3..6], &order[6..9]] {
-        let halls: BTreeSet<&FailureDomain> =
-            halls.iter().map(|candidate| &candidate.failure_domain).collect();
-        assert_eq!(halls.len(), 3, "{halls:?}");
+fn failure_domains_alternate_among_entries_of_equal_capacity() {
+    let ranking = fleet(&[(6, 833), (30, 104)]);
+    for triple in [&ranking[..3], &ranking[3..6], &ranking[6..9]] {
+        let domains: BTreeSet<&FailureDomain> =
+            triple.iter().map(|candidate| &candidate.failure_domain).collect();
+        assert_eq!(domains.len(), 3, "{domains:?}");
     }
 }
 
-fn fleet(strengths: &[(usize, u32)]) -> Vec<Candidate> {
-    let all = strengths.iter().flat_map(|(count, capacity)| vec![*capacity; *count]);
-    fleet_order(all.enumerate().map(|(number, capacity)| candidate(number, capacity)).collect())
+fn fleet(groups: &[(usize, u32)]) -> Vec<Candidate> {
+    let capacities = groups.iter().flat_map(|(count, capacity)| vec![*capacity; *count]);
+    rank_entries(
+        capacities.enumerate().map(|(number, capacity)| candidate(number, capacity)).collect(),
+    )
 }
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of hundreds of entries in one process, with simulated links: deterministic by its seed.
+//! Simulation of a fleet of hundreds of entries in one process, deterministic for a given seed.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -9,8 +9,8 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use shallotfork_fleet::{
-    Candidate, FleetHeartbeat, FleetMember, HEARTBEAT_PERIOD, OwnState, active_entries,
-    choose_initial_seed, fleet_order,
+    Candidate, FleetHeartbeat, FleetMember, HEARTBEAT_PERIOD, OwnState, choose_initial_seed,
+    rank_entries, select_advertised_entries,
 };
 use shallotfork_membership::{Announcement, EntryState, ListedVm};
 use shallotfork_quarantine::{
@@ -19,31 +19,31 @@
 };
 use shallotfork_types::{Endpoint, FailureDomain, Incarnation, Mono, PerSecond, VmId};
 
-pub const STRONG: u32 = 833;
-pub const WEAK: u32 = 104;
-const TARGETS: usize = 809;
-/// One way between two entries.
-const WAY_MS: std::ops::Range<u64> = 1..8;
-/// Time from the start of a process until it knows routes.
+pub const LARGE_CAPACITY: u32 = 833;
+pub const SMALL_CAPACITY: u32 = 104;
+const TARGET_COUNT: usize = 809;
+/// One-way network delay between two entries.
+const NETWORK_DELAY_MS: std::ops::Range<u64> = 1..8;
+/// Time from the start of a process until it has routes.
 const SYNC_MS: u64 = 350;
-/// Time after which a call without an answer is given up.
+/// Timeout of a call.
 const TIMEOUT_MS: u64 = 400;
-/// All processes start within this time.
-const START_MS: u64 = 300;
+/// Time over which the starts of all processes are spread.
+const START_SPREAD_MS: u64 = 300;
 
-/// What happens at some time.
+/// A scheduled event.
 #[derive(Debug, PartialEq, Eq)]
 enum Event {
     /// A process starts.
     Start(usize),
-    /// It has read routes and targets.
+    /// A process has read routes and targets.
     Synced(usize, u64),
-    /// One of its periods begins.
+    /// A period of a process starts.
     Period(usize, u64),
-    /// Nobody has answered at that address.
+    /// A call to an endpoint has timed out.
     Unanswered(usize, u64, Endpoint),
-    /// A heartbeat arrives.
-    Arrives { from: usize, to: usize, message: Box<Message>, answers: bool },
+    /// A heartbeat is received.
+    Received { from: usize, to: usize, message: Box<Message>, expects_answer: bool },
     /// A target crashes while running the crashing request, which an entry sent to it.
     TargetCrashes { index: usize, run: u64, sent_at: Mono },
 }
@@ -51,7 +51,7 @@
 /// A heartbeat between entries.
 #[derive(Debug, PartialEq, Eq)]
 struct Message {
-    beat: FleetHeartbeat,
+    heartbeat: FleetHeartbeat,
     crash_reports: Vec<CrashReport>,
     digest: QuarantineDigest,
 }
@@ -61,10 +61,10 @@
 /// Time from sending the request to the crash of its target.
 const CRASH_AFTER_MS: u64 = 90;
 
-/// An entry VM; its process may run or not.
+/// An entry VM, whose process may or may not run.
 struct Vm {
     listed: ListedVm,
-    /// The run of its process.
+    /// Number of starts of its process so far.
     run: u64,
     member: Option<FleetMember>,
     started_at: Mono,
@@ -88,17 +88,17 @@
     queue: BinaryHeap<Reverse<(Mono, u64)>>,
     events: BTreeMap<u64, Event>,
     next_event: u64,
-    /// Failure domains that are cut off from all others.
-    pub cut: BTreeSet<FailureDomain>,
-    /// Entries without processor time to spare, and by how much each of their steps is late at most.
-    pub late_ms: BTreeMap<usize, u64>,
-    /// Heartbeats sent, answers included.
-    pub sent: usize,
-    /// Those of them that crossed failure domains.
-    pub crossed: usize,
-    /// Pieces of news in them.
-    pub news: usize,
-    /// Crash reports in them.
+    /// Failure domains that are partitioned from all others.
+    pub partitioned_domains: BTreeSet<FailureDomain>,
+    /// Maximum scheduling delay of each step of entries without spare processor time.
+    pub max_delay_ms: BTreeMap<usize, u64>,
+    /// Number of heartbeats sent, including answers.
+    pub sent_heartbeats: usize,
+    /// Number of these heartbeats that crossed failure domains.
+    pub cross_domain_heartbeats: usize,
+    /// Number of membership updates in these heartbeats.
+    pub sent_updates: usize,
+    /// Number of crash reports in these heartbeats.
     pub crash_reports: usize,
     /// Probability that a message is lost.
     pub loss_rate: f64,
@@ -109,11 +109,14 @@
 }
 
 impl Model {
-    /// A fleet of `(count, strength)` in so many failure domains in turn; no process runs yet.
-    pub fn new(seed: u64, domains: usize, strengths: &[(usize, u32)]) -> Self {
-        let all = strengths.iter().flat_map(|(count, capacity)| vec![*capacity; *count]);
-        let vms: Vec<Vm> =
-            all.enumerate().map(|(number, capacity)| vm(number, domains, capacity)).collect();
+    /// Creates a fleet of `(count, capacity)` groups, spread over the failure domains in rotation.
+    /// No process runs yet.
+    pub fn new(seed: u64, domains: usize, groups: &[(usize, u32)]) -> Self {
+        let capacities = groups.iter().flat_map(|(count, capacity)| vec![*capacity; *count]);
+        let vms: Vec<Vm> = capacities
+            .enumerate()
+            .map(|(number, capacity)| vm(number, domains, capacity))
+            .collect();
         let by_endpoint =
             vms.iter().enumerate().map(|(index, vm)| (vm.listed.peers, index)).collect();
         let seeds = [20, 40, 60].map(|index| vms[index].listed.peers).to_vec();
@@ -126,11 +129,11 @@
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             next_event: 0,
-            cut: BTreeSet::new(),
-            late_ms: BTreeMap::new(),
-            sent: 0,
-            crossed: 0,
-            news: 0,
+            partitioned_domains: BTreeSet::new(),
+            max_delay_ms: BTreeMap::new(),
+            sent_heartbeats: 0,
+            cross_domain_heartbeats: 0,
+            sent_updates: 0,
             crash_reports: 0,
             loss_rate: 0.0,
             crashing_sends: Vec::new(),
@@ -142,16 +145,16 @@
     pub fn start_all(&mut self) {
         for index in 0..self.vms.len() {
             if self.vms[index].member.is_none() {
-                let wait_ms = self.rng.random_range(0..START_MS);
-                self.after(wait_ms, Event::Start(index));
+                let delay_ms = self.rng.random_range(0..START_SPREAD_MS);
+                self.schedule(delay_ms, Event::Start(index));
             }
         }
     }
 
-    /// Ends processes in silence.
-    pub fn lose(&mut self, lost: impl Fn(usize, &ListedVm) -> bool) {
+    /// Stops processes without notice.
+    pub fn kill(&mut self, is_killed: impl Fn(usize, &ListedVm) -> bool) {
         for (index, vm) in self.vms.iter_mut().enumerate() {
-            if lost(index, &vm.listed) {
+            if is_killed(index, &vm.listed) {
                 vm.member = None;
             }
         }
@@ -165,50 +168,50 @@
             self.queue.pop();
             self.now = at;
             if let Some(event) = self.events.remove(&number) {
-                self.take(event);
+                self.handle(event);
             }
         }
         self.now = end;
     }
 
-    /// Runs until all entries that run name those whom full knowledge would name; how long it took in
-    /// milliseconds, or `None` if it took longer than `most_ms`.
-    pub fn converge(&mut self, most_ms: u64) -> Option<u64> {
+    /// Runs until all running entries advertise what they would with full knowledge. Returns the
+    /// time that this took in milliseconds, or `None` if it took longer than `max_ms`.
+    pub fn converge(&mut self, max_ms: u64) -> Option<u64> {
         const STEP_MS: u64 = 50;
-        (0..most_ms / STEP_MS)
+        (0..max_ms / STEP_MS)
             .find(|_| {
                 self.run_for(STEP_MS);
-                self.agrees()
+                self.has_converged()
             })
             .map(|steps| (steps + 1) * STEP_MS)
     }
 
-    /// Names of those that are named by an entry.
-    pub fn named_by(&mut self, index: usize) -> Option<Vec<VmId>> {
+    /// Returns the entries that an entry advertises.
+    pub fn advertised_by(&mut self, index: usize) -> Option<Vec<VmId>> {
         let now = self.now;
         let member = self.vms[index].member.as_mut()?;
         Some(member.view(now).advertised.iter().map(|entry| entry.vm.clone()).collect())
     }
 
-    /// Where an entry is in the model.
+    /// Returns the index of an entry in the model.
     pub fn index_of(&self, vm: &VmId) -> usize {
         self.vms.iter().position(|other| other.listed.vm == *vm).unwrap()
     }
 
-    /// All entries of the failure domain of one.
-    pub fn domain_of(&self, index: usize) -> Vec<usize> {
+    /// Returns all entries in the failure domain of an entry.
+    pub fn entries_in_domain_of(&self, index: usize) -> Vec<usize> {
         let domain = &self.vms[index].listed.failure_domain;
-        let here = |other: &usize| self.vms[*other].listed.failure_domain == *domain;
-        (0..self.vms.len()).filter(here).collect()
+        let is_local = |other: &usize| self.vms[*other].listed.failure_domain == *domain;
+        (0..self.vms.len()).filter(is_local).collect()
     }
 
-    /// An entry notices how late it is with its heartbeats.
-    pub fn set_late_by(&mut self, index: usize, scheduling_delay: Duration) {
-        self.change_own(index, |own| OwnState { scheduling_delay, ..own });
+    /// Sets the scheduling delay that an entry measures.
+    pub fn set_scheduling_delay(&mut self, index: usize, scheduling_delay: Duration) {
+        self.update_own(index, |own| OwnState { scheduling_delay, ..own });
     }
 
-    /// How often an entry has come to suspect others, sampled for so long.
-    pub fn suspicions_by(&mut self, index: usize, time_ms: u64) -> usize {
+    /// Returns how often an entry starts to suspect others within a time, by sampling.
+    pub fn count_suspicions_by(&mut self, index: usize, time_ms: u64) -> usize {
         const STEP_MS: u64 = 20;
         let mut before = self.suspected_by(index);
         let mut count = 0;
@@ -224,53 +227,57 @@
     fn suspected_by(&mut self, index: usize) -> BTreeSet<VmId> {
         let now = self.now;
         let Some(member) = self.vms[index].member.as_mut() else { return BTreeSet::new() };
-        let beliefs = member.view(now);
-        let entries = beliefs.entries.values();
+        let view = member.view(now);
+        let entries = view.entries.values();
         let suspected = entries.filter(|entry| entry.state == EntryState::Suspected);
         suspected.map(|entry| entry.vm.clone()).collect()
     }
 
-    /// An entry's work begins, or ends, to wait for its processor.
-    pub fn set_behind(&mut self, index: usize, is_overloaded: bool) {
-        self.change_own(index, |own| OwnState { is_overloaded, ..own });
+    /// Sets whether an entry is overloaded.
+    pub fn set_overloaded(&mut self, index: usize, is_overloaded: bool) {
+        self.update_own(index, |own| OwnState { is_overloaded, ..own });
     }
 
-    fn change_own(&mut self, index: usize, change: impl FnOnce(OwnState) -> OwnState) {
+    fn update_own(&mut self, index: usize, change: impl FnOnce(OwnState) -> OwnState) {
         if let Some(member) = self.vms[index].member.as_mut() {
             member.set_own_state(change(member.own_state()));
         }
     }
 
-    fn agrees(&mut self) -> bool {
-        let expected = self.expected();
-        (0..self.vms.len()).all(|index| self.named_by(index).is_none_or(|named| named == expected))
+    fn has_converged(&mut self) -> bool {
+        let expected = self.expected_advertised();
+        (0..self.vms.len())
+            .all(|index| self.advertised_by(index).is_none_or(|advertised| advertised == expected))
     }
 
-    /// Whom full knowledge would name.
-    pub fn expected(&self) -> Vec<VmId> {
+    /// Returns the entries that are advertised with full knowledge of the fleet.
+    pub fn expected_advertised(&self) -> Vec<VmId> {
         let running = self.vms.iter().filter(|vm| vm.member.is_some());
         let candidates = running.map(|vm| Candidate {
             vm: vm.listed.vm.clone(),
             failure_domain: vm.listed.failure_domain.clone(),
             capacity: vm.listed.capacity,
         });
-        let order = fleet_order(candidates.collect());
-        active_entries(TARGETS, &order).into_iter().map(|entry| entry.vm).collect()
+        let ranking = rank_entries(candidates.collect());
+        select_advertised_entries(TARGET_COUNT, &ranking)
+            .into_iter()
+            .map(|entry| entry.vm)
+            .collect()
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Start(index) => self.start(index),
-            Event::Synced(index, run) => self.synced(index, run),
-            Event::Period(index, run) => self.period(index, run),
+            Event::Synced(index, run) => self.sync(index, run),
+            Event::Period(index, run) => self.start_period(index, run),
             Event::Unanswered(index, run, endpoint) => {
                 let now = self.now;
-                if let Some(member) = self.running(index, run) {
+                if let Some(member) = self.running_member(index, run) {
                     member.record_unanswered_call(endpoint, now);
                 }
             }
-            Event::Arrives { from, to, message, answers } => {
-                self.arrives(from, to, &message, answers);
+            Event::Received { from, to, message, expects_answer } => {
+                self.receive(from, to, &message, expects_answer);
             }
             Event::TargetCrashes { index, run, sent_at } => {
                 self.target_crashes(index, run, sent_at);
@@ -293,47 +300,47 @@
         let own = vm.listed.peers;
         let seed = choose_initial_seed(&self.seeds, own, &mut self.rng);
         seed.into_iter().for_each(|seed| self.call(index, seed));
-        self.after(SYNC_MS, Event::Synced(index, run));
-        self.after_period(index, run);
+        self.schedule(SYNC_MS, Event::Synced(index, run));
+        self.schedule_period(index, run);
     }
 
-    fn synced(&mut self, index: usize, run: u64) {
-        if let Some(member) = self.running(index, run) {
+    fn sync(&mut self, index: usize, run: u64) {
+        if let Some(member) = self.running_member(index, run) {
             let own = member.own_state();
-            member.set_own_state(OwnState { is_synced: true, target_count: TARGETS, ..own });
+            member.set_own_state(OwnState { is_synced: true, target_count: TARGET_COUNT, ..own });
         }
     }
 
-    fn period(&mut self, index: usize, run: u64) {
+    fn start_period(&mut self, index: usize, run: u64) {
         let (now, seeds) = (self.now, self.seeds.clone());
         let vm = &mut self.vms[index];
         let Some(member) = vm.member.as_mut().filter(|_| vm.run == run) else { return };
-        let called = member.start_period(&seeds, &mut self.rng, now);
+        let calls = member.start_period(&seeds, &mut self.rng, now);
         let is_reader = member.should_read(now);
         let own = member.own_state();
         member.set_own_state(OwnState { is_reader, ..own });
-        called.into_iter().for_each(|endpoint| self.call(index, endpoint));
-        self.after_period(index, run);
+        calls.into_iter().for_each(|endpoint| self.call(index, endpoint));
+        self.schedule_period(index, run);
     }
 
     fn call(&mut self, from: usize, endpoint: Endpoint) {
         let Some(to) = self.by_endpoint.get(&endpoint).copied() else { return };
-        if self.vms[to].member.is_none() || !self.say(from, to, true, None) {
+        if self.vms[to].member.is_none() || !self.send(from, to, true, None) {
             let run = self.vms[from].run;
-            self.after(TIMEOUT_MS, Event::Unanswered(from, run, endpoint));
+            self.schedule(TIMEOUT_MS, Event::Unanswered(from, run, endpoint));
         }
     }
 
-    fn arrives(&mut self, from: usize, to: usize, message: &Message, answers: bool) {
+    fn receive(&mut self, from: usize, to: usize, message: &Message, expects_answer: bool) {
         let now = self.now;
         let vm = &mut self.vms[to];
         let Some(member) = vm.member.as_mut() else { return };
-        member.receive_heartbeat(&message.beat, now);
+        member.receive_heartbeat(&message.heartbeat, now);
         for report in &message.crash_reports {
             vm.quarantine.merge(report, now);
         }
-        if answers && self.vms[from].member.is_some() {
-            self.say(to, from, false, Some(message.digest));
+        if expects_answer && self.vms[from].member.is_some() {
+            self.send(to, from, false, Some(message.digest));
         }
     }
 
@@ -354,7 +361,7 @@
         vm.quarantine.begin_run(CRASHING_REQUEST);
         let (run, sender_uptime) = (vm.run, self.now.since(vm.started_at));
         self.crashing_sends.push(CrashingSend { at: self.now, sender_uptime });
-        self.after(CRASH_AFTER_MS, Event::TargetCrashes { index, run, sent_at: self.now });
+        self.schedule(CRASH_AFTER_MS, Event::TargetCrashes { index, run, sent_at: self.now });
     }
 
     fn target_crashes(&mut self, index: usize, run: u64, sent_at: Mono) {
@@ -378,60 +385,61 @@
         without_quarantine.count()
     }
 
-    /// Whether it gets through.
-    fn say(
+    /// Sends a heartbeat. Returns whether it is delivered.
+    fn send(
         &mut self,
         from: usize,
         to: usize,
-        answers: bool,
+        expects_answer: bool,
         peer_digest: Option<QuarantineDigest>,
     ) -> bool {
-        let places = [from, to].map(|index| &self.vms[index].listed.failure_domain);
-        let crosses = places[0] != places[1];
-        if crosses && places.iter().any(|place| self.cut.contains(place)) {
+        let domains = [from, to].map(|index| &self.vms[index].listed.failure_domain);
+        let crosses_domains = domains[0] != domains[1];
+        if crosses_domains && domains.iter().any(|domain| self.partitioned_domains.contains(domain))
+        {
             return false;
         }
         let (vm, now) = (self.vms[to].listed.vm.clone(), self.now);
         let sender = &mut self.vms[from];
         let Some(member) = sender.member.as_mut() else { return false };
         let message = Box::new(Message {
-            beat: member.heartbeat_for(&vm, now),
+            heartbeat: member.heartbeat_for(&vm, now),
             crash_reports: sender.quarantine.reports(peer_digest, now),
             digest: sender.quarantine.digest(now),
         });
-        self.sent += 1;
-        self.crossed += usize::from(crosses);
-        self.news += message.beat.updates.len();
+        self.sent_heartbeats += 1;
+        self.cross_domain_heartbeats += usize::from(crosses_domains);
+        self.sent_updates += message.heartbeat.updates.len();
         self.crash_reports += message.crash_reports.len();
         if self.loss_rate > 0.0 && self.rng.random_bool(self.loss_rate) {
             return false;
         }
-        let way_ms = self.rng.random_range(WAY_MS) + self.lateness_ms(to);
-        self.after(way_ms, Event::Arrives { from, to, message, answers });
+        let delay_ms = self.rng.random_range(NETWORK_DELAY_MS) + self.scheduling_delay_ms(to);
+        self.schedule(delay_ms, Event::Received { from, to, message, expects_answer });
         true
     }
 
-    fn running(&mut self, index: usize, run: u64) -> Option<&mut FleetMember> {
+    fn running_member(&mut self, index: usize, run: u64) -> Option<&mut FleetMember> {
         let vm = &mut self.vms[index];
         vm.member.as_mut().filter(|_| vm.run == run)
     }
 
-    fn after_period(&mut self, index: usize, run: u64) {
+    fn schedule_period(&mut self, index: usize, run: u64) {
         let period_ms = HEARTBEAT_PERIOD.as_millis() as u64;
         let jitter_ms = self.rng.random_range(0..period_ms / 10);
-        let wait_ms = period_ms + jitter_ms + self.lateness_ms(index);
-        self.after(wait_ms, Event::Period(index, run));
+        let delay_ms = period_ms + jitter_ms + self.scheduling_delay_ms(index);
+        self.schedule(delay_ms, Event::Period(index, run));
     }
 
-    fn lateness_ms(&mut self, index: usize) -> u64 {
-        match self.late_ms.get(&index) {
-            Some(most_ms) => self.rng.random_range(0..*most_ms),
+    fn scheduling_delay_ms(&mut self, index: usize) -> u64 {
+        match self.max_delay_ms.get(&index) {
+            Some(max_ms) => self.rng.random_range(0..*max_ms),
             None => 0,
         }
     }
 
-    fn after(&mut self, wait_ms: u64, event: Event) {
-        let at = self.now.plus(Duration::from_millis(wait_ms));
+    fn schedule(&mut self, delay_ms: u64, event: Event) {
+        let at = self.now.plus(Duration::from_millis(delay_ms));
         self.queue.push(Reverse((at, self.next_event)));
         self.events.insert(self.next_event, event);
         self.next_event += 1;
--- a/crates/membership/src/entry_vm.rs
+++ b/crates/membership/src/entry_vm.rs
@@ -1,54 +1,54 @@
-//! An entry VM as listed, as announced and as believed to be.
+//! Entry VMs: as listed by the platform, as announced by themselves, and as seen by this process.
 
 use std::fmt;
 
 use shallotfork_types::{Endpoint, FailureDomain, Incarnation, PerSecond, VmId};
 
-/// One VM of the platform's list.
+/// A VM of the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedVm {
     /// Name of the VM.
     pub vm: VmId,
-    /// Where it stands.
+    /// Failure domain of the VM.
     pub failure_domain: FailureDomain,
-    /// Where callers connect.
+    /// Endpoint for callers.
     pub callers: Endpoint,
-    /// Where other entries connect.
+    /// Endpoint for other entries.
     pub peers: Endpoint,
-    /// Whether it is said to be leaving.
+    /// Whether the VM is reported to be leaving.
     pub leaving: bool,
-    /// Requests that it could carry, by its own word; zero when it does not say.
+    /// Number of requests per second that the VM reports it can carry; zero if it reports none.
     pub capacity: PerSecond,
 }
 
-/// What a VM says of itself in a heartbeat, after it proved the peer key.
+/// What a VM states about itself in a heartbeat, after it has proved that it has the peer key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Announcement {
     /// Identity and addresses, as in the platform's list.
     pub listed: ListedVm,
-    /// The run of the process that speaks.
+    /// Incarnation of the announcing process.
     pub incarnation: Incarnation,
-    /// Raised by the speaker each time that it refutes a suspicion.
+    /// Counter that the announcing process raises each time it refutes a suspicion.
     pub round: u32,
 }
 
-/// What one VM tells another about a third.
+/// A membership update: what one VM reports to another about a third one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberUpdate {
-    /// What the third VM announced last, as far as the teller knows.
+    /// Last announcement of the third VM that the reporting VM knows.
     pub about: Announcement,
-    /// Whether the teller, or somebody who told it, has missed its heartbeats.
+    /// Whether the reporting VM, or one that it received the update from, suspects the third VM.
     pub suspected: bool,
 }
 
-/// What this process believes of a VM.
+/// State of a VM in the view of this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryState {
-    /// Not known to be gone.
+    /// Not known to have stopped.
     Live,
-    /// Silent for too long, by own or by others' evidence.
+    /// Silent for too long, as observed by this process or reported by others.
     Suspected,
-    /// Said by itself or by the platform to be leaving.
+    /// Reported to be leaving by the VM itself or by the platform.
     Leaving,
 }
 
@@ -62,21 +62,21 @@
     }
 }
 
-/// One VM with the belief about it.
+/// A VM in the view of this process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryVm {
     /// Name of the VM.
     pub vm: VmId,
-    /// Where it stands.
+    /// Failure domain of the VM.
     pub failure_domain: FailureDomain,
-    /// Where callers connect.
+    /// Endpoint for callers.
     pub callers: Endpoint,
-    /// Where other entries connect.
+    /// Endpoint for other entries.
     pub peers: Endpoint,
-    /// The run that was heard of last; `None` when it never was.
+    /// Last known incarnation; `None` if none is known.
     pub incarnation: Option<Incarnation>,
-    /// The belief.
+    /// State of the VM.
     pub state: EntryState,
-    /// Requests that it could carry, by its own word; zero when it does not say.
+    /// Number of requests per second that the VM reports it can carry; zero if it reports none.
     pub capacity: PerSecond,
 }
--- a/crates/membership/src/group.rs
+++ b/crates/membership/src/group.rs
@@ -1,4 +1,4 @@
-//! Which entries serve a service, and in which order a caller should try them.
+//! Groups of entries that serve a service, and the order in which a caller should try them.
 
 use std::cmp::Reverse;
 
@@ -7,22 +7,23 @@
 
 use crate::{EntryState, EntryVm};
 
-/// What is known of the caller who asks.
+/// Properties of a caller that determine the order of its entries.
 #[derive(Debug, Clone)]
 pub struct CallerPreference {
-    /// Where the caller stands, when it says so.
+    /// Failure domain of the caller, if it states one.
     pub failure_domain: Option<FailureDomain>,
-    /// Rotates the order, so that callers who ask one after another spread over the group.
+    /// Number of positions by which the order is rotated, so that successive callers are spread
+    /// over the group.
     pub rotation: u64,
 }
 
-/// The group of entries that serves a service, chosen among those that may be named in answers.
+/// Returns the group that serves a service, selected among the entries that may be advertised.
 pub fn service_group(service: &ServiceName, entries: &[EntryVm], size: GroupSize) -> ServiceGroup {
-    let candidates: Vec<GroupEntry> = nameable(entries).map(group_entry).collect();
+    let candidates: Vec<GroupEntry> = advertisable_entries(entries).map(group_entry).collect();
     ServiceGroup::new(service, &candidates, size)
 }
 
-/// Chooses the entries that a caller should use for a service, best first.
+/// Returns the entries that a caller should use for a service, best first.
 pub fn entries_for(
     service: &ServiceName,
     entries: &[EntryVm],
@@ -31,28 +32,30 @@
 ) -> Vec<EntryVm> {
     let group = service_group(service, entries, size);
     let members: Vec<EntryVm> =
-        nameable(entries).filter(|entry| group.contains(&entry.vm)).cloned().collect();
+        advertisable_entries(entries).filter(|entry| group.contains(&entry.vm)).cloned().collect();
     rank_for_caller(&members, preference)
 }
 
-/// The members of a group in the order in which one caller should try them.
+/// Ranks the members of a group in the order in which a caller should try them.
 ///
-/// Members near the caller come first; within the same distance the turn decides.
+/// Members in the caller's failure domain come first; within the same distance the rotation
+/// decides.
 pub fn rank_for_caller(members: &[EntryVm], preference: &CallerPreference) -> Vec<EntryVm> {
     let mut members = members.to_vec();
     rotate(&mut members, preference.rotation);
-    let near = |entry: &EntryVm| preference.failure_domain.as_ref() == Some(&entry.failure_domain);
-    members.sort_by_key(|entry| Reverse(near(entry)));
+    let is_near =
+        |entry: &EntryVm| preference.failure_domain.as_ref() == Some(&entry.failure_domain);
+    members.sort_by_key(|entry| Reverse(is_near(entry)));
     members
 }
 
-/// Live entries; suspected ones when nobody else is there.
+/// Returns the live entries, or the suspected ones if none is live.
 ///
-/// When all look dead, the fault is more likely on this side of a partition, and an answer with
-/// old addresses beats none.
-fn nameable(entries: &[EntryVm]) -> impl Iterator<Item = &EntryVm> {
-    let live = entries.iter().any(|entry| entry.state == EntryState::Live);
-    let state = if live { EntryState::Live } else { EntryState::Suspected };
+/// If all entries seem lost, this process is more likely to be on the wrong side of a partition,
+/// and a response with outdated addresses is better than an empty one.
+fn advertisable_entries(entries: &[EntryVm]) -> impl Iterator<Item = &EntryVm> {
+    let has_live = entries.iter().any(|entry| entry.state == EntryState::Live);
+    let state = if has_live { EntryState::Live } else { EntryState::Suspected };
     entries.iter().filter(move |entry| entry.state == state)
 }
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,8 @@
-//! Which entry VMs are alive, and which of them a caller should use.
+//! Membership: which entry VMs are alive, and which of them a caller should use.
 //!
-//! The view joins the platform's VM list, which lags; heartbeats, which are direct evidence; and
-//! news that entries pass on about others. Suspicion takes a VM out of answers and nothing more:
-//! it never gives another VM authority over anything.
+//! The view of the fleet combines the platform's VM list, which lags; heartbeats, which are direct
+//! evidence; and membership updates that entries forward about others. Suspicion only removes a VM
+//! from responses to callers: it never gives another VM authority over anything.
 
 mod entry_vm;
 mod group;
