--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,167 +1,176 @@
-//! What a view remembers of one VM.
+//! State that a view keeps about one VM.
 
 use std::time::Duration;
 
 use shallotfork_types::{Incarnation, Mono};
 
-use crate::silence_allowance::Leniency;
+use crate::silence_allowance::SilenceAllowance;
 use crate::{Announcement, EntryState, EntryVm, ListedVm, MemberUpdate};
 
 #[derive(Debug)]
 pub(crate) struct Member {
     pub(crate) listed: ListedVm,
-    pub(crate) on_list: bool,
+    pub(crate) is_listed: bool,
     pub(crate) incarnation: Option<Incarnation>,
     pub(crate) round: u32,
-    said_leaving: bool,
-    suspected: bool,
-    /// The round of a suspicion that ended when this run was heard, and that the run has not refuted
-    /// by a higher one.
+    reported_leaving: bool,
+    is_suspected: bool,
+    /// Round of a suspicion that ended with a heartbeat of this incarnation, which the incarnation
+    /// has not yet refuted by a higher round.
     unrefuted_round: Option<u32>,
-    /// Whether heartbeats are exchanged with it, so that its silence means something.
-    watched: bool,
-    pub(crate) quiet_since: Mono,
-    leniency: Leniency,
-    /// Version of the view at which the belief changed last.
-    pub(crate) changed_at: u64,
+    /// Whether heartbeats are exchanged with the VM, so that its silence is meaningful.
+    is_monitored: bool,
+    pub(crate) last_seen_at: Mono,
+    silence_allowance: SilenceAllowance,
+    /// Version of the view in which the state of the VM last changed.
+    pub(crate) changed_version: u64,
 }
 
 impl Member {
     pub(crate) fn new(listed: ListedVm, now: Mono) -> Self {
         Self {
             listed,
-            on_list: false,
+            is_listed: false,
             incarnation: None,
             round: 0,
-            said_leaving: false,
-            suspected: false,
+            reported_leaving: false,
+            is_suspected: false,
             unrefuted_round: None,
-            watched: false,
-            quiet_since: now,
-            leniency: Leniency::default(),
-            changed_at: 0,
+            is_monitored: false,
+            last_seen_at: now,
+            silence_allowance: SilenceAllowance::default(),
+            changed_version: 0,
         }
     }
 
-    /// Takes the platform's account; its word on leaving counts until a newer list takes it back.
+    /// Applies the platform's list. Its statement that the VM is leaving stays in force until a
+    /// newer list withdraws it.
     pub(crate) fn set_listed(&mut self, listed: &ListedVm) {
-        self.on_list = true;
-        let known_better = self.incarnation.is_some();
-        if known_better {
+        self.is_listed = true;
+        let has_announcement = self.incarnation.is_some();
+        if has_announcement {
             self.listed.leaving = listed.leaving;
         } else {
             self.listed = listed.clone();
         }
     }
 
-    /// Starts to expect heartbeats from now on.
+    /// Expects heartbeats from now on.
     pub(crate) fn monitor(&mut self, now: Mono) {
-        if !self.watched {
-            self.watched = true;
-            self.quiet_since = now;
+        if !self.is_monitored {
+            self.is_monitored = true;
+            self.last_seen_at = now;
         }
     }
 
-    pub(crate) fn unwatch(&mut self) {
-        self.watched = false;
+    pub(crate) fn stop_monitoring(&mut self) {
+        self.is_monitored = false;
     }
 
-    /// Takes direct evidence; returns whether it counted.
+    /// Applies a heartbeat of the VM. Returns whether it was accepted.
     pub(crate) fn receive_heartbeat(
         &mut self,
         from: &Announcement,
-        fresh: Duration,
+        evidence_valid_for: Duration,
         now: Mono,
     ) -> bool {
-        if !self.may_become(from.incarnation, fresh, now) {
+        if !self.accepts_incarnation(from.incarnation, evidence_valid_for, now) {
             return false;
         }
         if self.state() == EntryState::Suspected {
             self.unrefuted_round = Some(self.round);
         }
-        self.take(from);
+        self.apply(from);
         self.unrefuted_round = self.unrefuted_round.filter(|round| from.round <= *round);
         self.clear_suspicion(now);
-        self.quiet_since = now;
+        self.last_seen_at = now;
         true
     }
 
-    /// Takes hearsay; returns whether it changed the belief.
+    /// Applies an update received from another VM. Returns whether it changed the state.
     pub(crate) fn receive_update(
         &mut self,
-        news: &MemberUpdate,
-        fresh: Duration,
+        update: &MemberUpdate,
+        evidence_valid_for: Duration,
         now: Mono,
     ) -> bool {
-        let about = &news.about;
-        let heard_lately = self.watched && now.since(self.quiet_since) <= fresh;
-        let before = self.belief();
+        let about = &update.about;
+        let seen_recently = self.is_monitored && now.since(self.last_seen_at) <= evidence_valid_for;
+        let before = self.comparable_state();
         if self.incarnation != Some(about.incarnation) {
-            if heard_lately || !self.is_news_of_another_run(news) {
+            if seen_recently || !self.accepts_update_of_incarnation(update) {
                 return false;
             }
-            self.take(about);
-            self.suspected = news.suspected;
+            self.apply(about);
+            self.is_suspected = update.suspected;
             return true;
         }
-        self.said_leaving |= about.listed.leaving;
-        if news.suspected && about.round >= self.round && !heard_lately {
+        self.reported_leaving |= about.listed.leaving;
+        if update.suspected && about.round >= self.round && !seen_recently {
             self.suspect(now);
         }
-        if !news.suspected && about.round > self.round {
+        if !update.suspected && about.round > self.round {
             self.clear_suspicion(now);
         }
         self.round = self.round.max(about.round);
-        before != self.belief()
+        before != self.comparable_state()
     }
 
-    /// Whether another run of the process may take the place of the known one.
+    /// Returns whether a heartbeat of an incarnation may replace the known one.
     ///
-    /// A paused VM may be replaced under its name and wake up later; both runs then speak. The
-    /// known one stays for as long as it is heard, so that the two cannot take turns and a late
-    /// message of an ended run changes nothing.
-    fn may_become(&self, incarnation: Incarnation, fresh: Duration, now: Mono) -> bool {
+    /// A paused VM may be replaced under its name and resume later, so that both incarnations send
+    /// heartbeats. The known one is kept while it is seen: the two cannot alternate, and a late
+    /// message of an ended incarnation has no effect.
+    fn accepts_incarnation(
+        &self,
+        incarnation: Incarnation,
+        evidence_valid_for: Duration,
+        now: Mono,
+    ) -> bool {
         let Some(known) = self.incarnation else { return true };
-        let silent = now.since(self.quiet_since) > fresh;
-        known == incarnation || silent || self.suspected || self.said_leaving
+        let is_silent = now.since(self.last_seen_at) > evidence_valid_for;
+        known == incarnation || is_silent || self.is_suspected || self.reported_leaving
     }
 
-    /// Whether hearsay of a run that is not the known one is to be believed: of a later run always, of
-    /// an earlier one only that it lives when the known one does not.
+    /// Returns whether an update about an incarnation other than the known one is accepted: always
+    /// for a later one; for an earlier one only if the update reports it as live and the known one
+    /// is not.
     ///
-    /// Hundreds of VMs start anew. Some remember their earlier runs as dead, others know the new ones;
-    /// were either to believe whatever it is told last, they would convince each other in turn, and
-    /// the fleet would go on sending callers to ever different entries long after the start.
-    fn is_news_of_another_run(&self, news: &MemberUpdate) -> bool {
-        let dead = |suspected: bool, leaving: bool| suspected || leaving;
-        let is_later = self.incarnation.is_none_or(|known| news.about.incarnation > known);
-        let known_is_dead = dead(self.suspected, self.said_leaving);
-        is_later || (known_is_dead && !dead(news.suspected, news.about.listed.leaving))
-    }
-
-    fn take(&mut self, from: &Announcement) {
+    /// When hundreds of VMs restart, some entries still know the earlier incarnations as dead and
+    /// others the new ones. If each accepted the update received last, they would overwrite each
+    /// other's state in turn, and the fleet would advertise ever-changing entries long after the
+    /// start.
+    fn accepts_update_of_incarnation(&self, update: &MemberUpdate) -> bool {
+        let is_dead = |suspected: bool, leaving: bool| suspected || leaving;
+        let is_later = self.incarnation.is_none_or(|known| update.about.incarnation > known);
+        let known_is_dead = is_dead(self.is_suspected, self.reported_leaving);
+        is_later || (known_is_dead && !is_dead(update.suspected, update.about.listed.leaving))
+    }
+
+    fn apply(&mut self, from: &Announcement) {
         if self.incarnation != Some(from.incarnation) {
             self.incarnation = Some(from.incarnation);
             self.round = 0;
-            self.said_leaving = false;
-            self.leniency = Leniency::default();
+            self.reported_leaving = false;
+            self.silence_allowance = SilenceAllowance::default();
             self.unrefuted_round = None;
         }
-        let leaving = self.listed.leaving && self.on_list;
+        let leaving = self.listed.leaving && self.is_listed;
         self.listed = ListedVm { leaving, ..from.listed.clone() };
-        self.said_leaving |= from.listed.leaving;
+        self.reported_leaving |= from.listed.leaving;
         self.round = self.round.max(from.round);
     }
 
     pub(crate) fn leave(&mut self) {
-        self.said_leaving = true;
+        self.reported_leaving = true;
     }
 
-    /// Suspects a watched VM that has been silent for too long; returns whether that is new.
-    pub(crate) fn suspect_if_silent(&mut self, after: Duration, now: Mono) -> bool {
-        let after = self.leniency.silence(after, now);
-        let silent = self.watched && now.since(self.quiet_since) > after;
-        if !silent || self.suspected {
+    /// Suspects a monitored VM that has been silent for too long. Returns whether it was not
+    /// suspected before.
+    pub(crate) fn suspect_if_silent(&mut self, usual_silence: Duration, now: Mono) -> bool {
+        let allowed_silence = self.silence_allowance.silence(usual_silence, now);
+        let is_silent = self.is_monitored && now.since(self.last_seen_at) > allowed_silence;
+        if !is_silent || self.is_suspected {
             return false;
         }
         self.suspect(now);
@@ -169,30 +178,30 @@
     }
 
     fn suspect(&mut self, now: Mono) {
-        if !self.suspected {
-            self.suspected = true;
-            self.leniency.suspected(now);
+        if !self.is_suspected {
+            self.is_suspected = true;
+            self.silence_allowance.record_suspicion(now);
         }
     }
 
     fn clear_suspicion(&mut self, now: Mono) {
-        self.suspected = false;
-        self.leniency.proved_alive(now);
+        self.is_suspected = false;
+        self.silence_allowance.record_sign_of_life(now);
     }
 
     pub(crate) fn handle_resume(&mut self, now: Mono) {
-        self.quiet_since = now;
+        self.last_seen_at = now;
     }
 
-    fn belief(&self) -> (EntryState, Option<Incarnation>, u32) {
+    fn comparable_state(&self) -> (EntryState, Option<Incarnation>, u32) {
         (self.state(), self.incarnation, self.round)
     }
 
     pub(crate) fn state(&self) -> EntryState {
-        if self.said_leaving || self.listed.leaving {
+        if self.reported_leaving || self.listed.leaving {
             return EntryState::Leaving;
         }
-        if self.suspected { EntryState::Suspected } else { EntryState::Live }
+        if self.is_suspected { EntryState::Suspected } else { EntryState::Live }
     }
 
     pub(crate) fn entry(&self) -> EntryVm {
@@ -207,18 +216,18 @@
         }
     }
 
-    /// News about this VM; `None` when no run of it was ever heard of.
-    pub(crate) fn news(&self) -> Option<MemberUpdate> {
-        let listed = ListedVm { leaving: self.said_leaving, ..self.listed.clone() };
+    /// Returns an update about this VM; `None` if no incarnation of it is known.
+    pub(crate) fn update(&self) -> Option<MemberUpdate> {
+        let listed = ListedVm { leaving: self.reported_leaving, ..self.listed.clone() };
         let incarnation = self.incarnation?;
         let about = Announcement { listed, incarnation, round: self.round };
-        Some(MemberUpdate { about, suspected: self.suspected })
+        Some(MemberUpdate { about, suspected: self.is_suspected })
     }
 
-    /// The suspicion that its VM still has to refute, as news for it.
+    /// Returns the suspicion that the VM still has to refute, as an update to send to it.
     pub(crate) fn unrefuted_suspicion(&self) -> Option<MemberUpdate> {
         let round = self.unrefuted_round?;
-        let news = self.news()?;
-        Some(MemberUpdate { about: Announcement { round, ..news.about }, suspected: true })
+        let update = self.update()?;
+        Some(MemberUpdate { about: Announcement { round, ..update.about }, suspected: true })
     }
 }
--- a/crates/membership/tests/updates.rs
+++ b/crates/membership/tests/updates.rs
@@ -1,4 +1,5 @@
-//! News spreads over a fleet in which each VM exchanges heartbeats with a few others only.
+//! Propagation of membership updates in a fleet in which each VM exchanges heartbeats with only a
+//! few others.
 
 #![expect(clippy::unwrap_used, reason = "a test builder may end the test")]
 
@@ -13,13 +14,13 @@
 const PEERS: usize = 3;
 const PERIOD: Duration = Duration::from_millis(500);
 
-/// A fleet whose heartbeats are delivered at once, except to and from silent VMs.
+/// A fleet in which heartbeats are delivered without delay, except to and from silent VMs.
 struct Fleet {
     views: Vec<MembershipView>,
     now: Mono,
     silent: BTreeSet<usize>,
-    /// Whether the first failure domain is cut off from the others.
-    cut: bool,
+    /// Whether the first failure domain is partitioned from the others.
+    is_partitioned: bool,
 }
 
 fn listed(index: usize) -> ListedVm {
@@ -44,7 +45,7 @@
             view
         };
         let views = (0..size).map(view).collect();
-        Self { views, now: Mono::ZERO, silent: BTreeSet::new(), cut: false }
+        Self { views, now: Mono::ZERO, silent: BTreeSet::new(), is_partitioned: false }
     }
 
     fn with_silent(mut self, index: usize) -> Self {
@@ -55,50 +56,51 @@
     fn with_periods(mut self, periods: u32) -> Self {
         for _ in 0..periods {
             self.now = self.now.plus(PERIOD);
-            (0..self.views.len()).for_each(|index| self.beat(index));
+            (0..self.views.len()).for_each(|index| self.send_heartbeats(index));
         }
         self
     }
 
-    fn beat(&mut self, from: usize) {
+    fn send_heartbeats(&mut self, from: usize) {
         if self.silent.contains(&from) {
             return;
         }
         let own = listed(from).vm;
         let peers = heartbeat_peers(&own, &self.views[from].entries(), PEERS);
-        let watched = peers.iter().map(|peer| peer.vm.clone()).collect();
-        self.views[from].monitor(&watched, self.now);
+        let monitored = peers.iter().map(|peer| peer.vm.clone()).collect();
+        self.views[from].monitor(&monitored, self.now);
         self.views[from].expire(self.now);
         for peer in peers {
             let to: usize = peer.vm.as_str()[3..].parse().unwrap();
-            let apart = self.cut && from.is_multiple_of(3) != to.is_multiple_of(3);
-            if !self.silent.contains(&to) && !apart {
+            let is_unreachable =
+                self.is_partitioned && from.is_multiple_of(3) != to.is_multiple_of(3);
+            if !self.silent.contains(&to) && !is_unreachable {
                 self.exchange(from, to);
             }
         }
     }
 
     fn exchange(&mut self, from: usize, to: usize) {
-        for (speaker, hearer) in [(from, to), (to, from)] {
-            let leaving = self.believes(speaker, speaker) == EntryState::Leaving;
-            let round = self.views[speaker].own_round();
-            let news = self.views[speaker].take_due_updates();
-            self.views[hearer].receive_heartbeat(&announcement(speaker, leaving, round), self.now);
-            for piece in news {
-                self.views[hearer].receive_update(&piece, self.now);
+        for (sender, receiver) in [(from, to), (to, from)] {
+            let leaving = self.state_of(sender, sender) == EntryState::Leaving;
+            let round = self.views[sender].own_round();
+            let updates = self.views[sender].take_due_updates();
+            self.views[receiver].receive_heartbeat(&announcement(sender, leaving, round), self.now);
+            for update in updates {
+                self.views[receiver].receive_update(&update, self.now);
             }
         }
     }
 
-    fn believes(&self, index: usize, about: usize) -> EntryState {
+    fn state_of(&self, index: usize, about: usize) -> EntryState {
         let vm = listed(about).vm;
         self.views[index].entries().iter().find(|entry| entry.vm == vm).unwrap().state
     }
 
-    /// How many of the VMs that are not silent hold this belief.
-    fn believers(&self, about: usize, state: EntryState) -> usize {
-        let speaking = (0..self.views.len()).filter(|index| !self.silent.contains(index));
-        speaking.filter(|index| self.believes(*index, about) == state).count()
+    /// Returns the number of VMs, except for silent ones, that see a VM in this state.
+    fn count_views_with(&self, about: usize, state: EntryState) -> usize {
+        let observers = (0..self.views.len()).filter(|index| !self.silent.contains(index));
+        observers.filter(|index| self.state_of(*index, about) == state).count()
     }
 }
 
@@ -108,45 +110,46 @@
 }
 
 #[test]
-fn a_healthy_fleet_suspects_nobody() {
+fn a_healthy_fleet_has_no_suspicions() {
     let fleet = Fleet::new(60).with_periods(40);
     for about in 0..60 {
-        assert_eq!(60, fleet.believers(about, EntryState::Live));
+        assert_eq!(60, fleet.count_views_with(about, EntryState::Live));
     }
 }
 
-/// A VM in a fleet of 60 dies. Only a few others exchange heartbeats with it.
-/// The rest would send callers to it until the platform's list catches up, tens of seconds later.
+/// Guards against a dead VM that is suspected only by the few that exchange heartbeats with it. The
+/// rest of the 60 would send callers to it until the platform's list is updated, tens of seconds
+/// later.
 #[test]
-fn a_dead_vm_is_soon_suspected_by_all() {
+fn the_suspicion_of_a_dead_vm_reaches_all() {
     let fleet = Fleet::new(60).with_periods(10).with_silent(7).with_periods(16);
-    assert_eq!(59, fleet.believers(7, EntryState::Suspected));
+    assert_eq!(59, fleet.count_views_with(7, EntryState::Suspected));
 }
 
-/// A VM says that it leaves, to a few others. Those who hear it from nobody would go on to name it.
+/// Guards against advertising a leaving VM, which notifies only a few others directly.
 #[test]
-fn a_leaving_vm_is_soon_known_to_all() {
+fn the_state_of_a_leaving_vm_reaches_all() {
     let mut fleet = Fleet::new(60).with_periods(10);
     fleet.views[7].leave();
     let fleet = fleet.with_periods(6);
-    assert_eq!(60, fleet.believers(7, EntryState::Leaving));
+    assert_eq!(60, fleet.count_views_with(7, EntryState::Leaving));
 }
 
-/// A VM is paused for ten seconds and resumed. The fleet has suspected it meanwhile.
-/// Without a refutation, those that exchange no heartbeats with it would leave it out for good.
+/// Guards against a VM that stays suspected after a pause of ten seconds. Without a refutation, the
+/// VMs that exchange no heartbeats with it would leave it out permanently.
 #[test]
-fn a_resumed_vm_is_soon_believed_live_by_all() {
+fn the_refutation_of_a_resumed_vm_reaches_all() {
     let mut fleet = Fleet::new(60).with_periods(10).with_silent(7).with_periods(20);
     fleet.silent.clear();
     fleet.views[7].handle_resume(fleet.now);
     let fleet = fleet.with_periods(12);
-    assert_eq!(60, fleet.believers(7, EntryState::Live));
+    assert_eq!(60, fleet.count_views_with(7, EntryState::Live));
 }
 
-/// A VM that the platform does not list yet starts and greets the few that it was told of.
-/// Callers would not be sent to it before the list catches up.
+/// Guards against a new VM that gets no callers until the platform lists it, since it contacts only
+/// the few VMs that it knows.
 #[test]
-fn a_vm_that_is_not_listed_yet_is_soon_known_to_all() {
+fn a_vm_that_is_not_listed_yet_becomes_known_to_all() {
     let mut fleet = Fleet::new(60);
     let list: Vec<ListedVm> = (0..59).map(listed).collect();
     for (index, view) in fleet.views.iter_mut().enumerate() {
@@ -155,53 +158,54 @@
         view.set_published(Revision::new(1), &list, Mono::ZERO);
     }
     let fleet = fleet.with_periods(8);
-    let knows =
+    let is_known =
         |view: &MembershipView| view.entries().iter().any(|entry| entry.vm == listed(59).vm);
-    assert!(fleet.views.iter().all(knows));
+    assert!(fleet.views.iter().all(is_known));
 }
 
-/// A switch fails and cuts one failure domain off from the rest for ten seconds.
-/// Each side suspects the other; after the cut has healed, callers must be sent to all again.
+/// Guards against suspicions that outlast a partition. A failed switch separates one failure domain
+/// from the rest for ten seconds and each side suspects the other; afterwards callers must be sent
+/// to all again.
 #[test]
-fn a_healed_cut_is_soon_forgotten_by_all() {
+fn suspicions_end_after_a_partition_heals() {
     let mut fleet = Fleet::new(60).with_periods(10);
-    fleet.cut = true;
+    fleet.is_partitioned = true;
     let mut fleet = fleet.with_periods(20);
-    assert!(fleet.believers(3, EntryState::Suspected) > 0);
-    fleet.cut = false;
+    assert!(fleet.count_views_with(3, EntryState::Suspected) > 0);
+    fleet.is_partitioned = false;
     let fleet = fleet.with_periods(20);
     for about in 0..60 {
-        assert_eq!(60, fleet.believers(about, EntryState::Live), "VM {about}");
+        assert_eq!(60, fleet.count_views_with(about, EntryState::Live), "VM {about}");
     }
 }
 
-/// Hundreds of VMs start at once, and everybody's news is new to everybody. Passed on in full, it
-/// filled the links for seconds and left the few strong VMs no time to find each other.
+/// Guards against propagating updates about all VMs when hundreds start at once. They filled the
+/// links for seconds and left the few large VMs no time to find each other.
 #[test]
-fn only_news_of_those_who_come_first_is_passed_on() {
+fn only_updates_about_selected_vms_are_propagated() {
     let mut view =
         MembershipView::new(ViewConfig::default(), &announcement(0, false, 0), Mono::ZERO);
-    view.set_passed_on(BTreeSet::from([listed(1).vm]));
+    view.set_propagated(BTreeSet::from([listed(1).vm]));
     for index in 1..=3 {
         view.receive_heartbeat(&announcement(index, false, 0), Mono::ZERO);
     }
-    let names = |news: Vec<MemberUpdate>| -> Vec<VmId> {
-        news.into_iter().map(|news| news.about.listed.vm).collect()
+    let vms = |updates: Vec<MemberUpdate>| -> Vec<VmId> {
+        updates.into_iter().map(|update| update.about.listed.vm).collect()
     };
-    assert_eq!(names(view.take_due_updates()), [listed(1).vm]);
-    assert_eq!(names(view.news_since(0)), [listed(1).vm]);
+    assert_eq!(vms(view.take_due_updates()), [listed(1).vm]);
+    assert_eq!(vms(view.updates_since(0)), [listed(1).vm]);
     let version = view.version();
     view.receive_heartbeat(&announcement(3, true, 0), Mono::ZERO);
-    assert_eq!(names(view.news_since(version)), [listed(3).vm], "the end of one that was known");
+    assert_eq!(vms(view.updates_since(version)), [listed(3).vm], "the end of a known VM");
 }
 
-/// An entry that nobody calls hears of hundreds of restarts. It would tell those whom it calls what
-/// they have just told it.
+/// Guards against sending updates back to where they came from: an entry that no other one calls
+/// receives hundreds of them from those that it calls.
 #[test]
-fn who_is_called_by_nobody_passes_on_its_own_news_only() {
+fn without_forwarding_only_own_updates_are_sent() {
     let mut view =
         MembershipView::new(ViewConfig::default(), &announcement(0, false, 0), Mono::ZERO);
-    view.set_relays(false);
+    view.set_forwards_updates(false);
     let about = announcement(1, false, 0);
     view.receive_update(&MemberUpdate { about, suspected: false }, Mono::ZERO);
     assert!(view.take_due_updates().is_empty());
@@ -209,10 +213,10 @@
     assert_eq!(view.take_due_updates().len(), 1);
 }
 
-/// The last that was heard of a VM is its end, and it was forgotten since. Taken in again, it would be
-/// passed on for ever.
+/// Guards against a forgotten VM that is added again by the update about its end and is then
+/// propagated forever.
 #[test]
-fn the_end_of_a_vm_that_is_not_known_is_no_news() {
+fn the_end_of_an_unknown_vm_is_ignored() {
     let mut view =
         MembershipView::new(ViewConfig::default(), &announcement(0, false, 0), Mono::ZERO);
     let version = view.version();
@@ -227,10 +231,10 @@
     assert_eq!((view.entries().len(), view.version()), (1, version));
 }
 
-/// What follows from the members is made anew when the version changes; a heartbeat that tells
-/// nothing new must not change it, or each would cost a small VM a sort of all members.
+/// Guards against a version that changes with every heartbeat. Everything derived from the members
+/// is computed again when it changes, so each heartbeat would make a small VM sort all members.
 #[test]
-fn the_version_changes_with_the_beliefs_only() {
+fn the_version_changes_only_with_the_state_of_members() {
     let mut view =
         MembershipView::new(ViewConfig::default(), &announcement(0, false, 0), Mono::ZERO);
     view.receive_heartbeat(&announcement(1, false, 0), Mono::ZERO);
@@ -244,35 +248,37 @@
     assert_ne!(view.entries(), entries);
 }
 
-/// A VM has started anew. One neighbour knows the new run, another remembers the old one as dead or as
-/// live; whatever order their words come in, the new run is what counts.
+/// Guards against a restarted VM whose earlier incarnation comes back. Others may still know that
+/// one as dead or live; whatever the order of their updates, the new incarnation wins.
 #[test]
-fn hearsay_of_an_earlier_run_does_not_undo_a_later_one() {
-    let news = |run: u64, suspected: bool| {
-        let about =
-            Announcement { incarnation: Incarnation::new(run), ..announcement(1, false, 0) };
+fn updates_about_an_earlier_incarnation_do_not_replace_a_later_one() {
+    let update = |incarnation: u64, suspected: bool| {
+        let about = Announcement {
+            incarnation: Incarnation::new(incarnation),
+            ..announcement(1, false, 0)
+        };
         MemberUpdate { about, suspected }
     };
-    let state_after = |words: &[MemberUpdate]| -> (EntryState, Option<Incarnation>) {
+    let state_after = |updates: &[MemberUpdate]| -> (EntryState, Option<Incarnation>) {
         let mut view =
             MembershipView::new(ViewConfig::default(), &announcement(0, false, 0), Mono::ZERO);
-        words.iter().for_each(|word| view.receive_update(word, Mono::from_millis(60_000)));
+        updates.iter().for_each(|update| view.receive_update(update, Mono::from_millis(60_000)));
         let entry = view.entries().into_iter().find(|entry| entry.vm == listed(1).vm).unwrap();
         (entry.state, entry.incarnation)
     };
     let new = (EntryState::Live, Some(Incarnation::new(8)));
-    assert_eq!(state_after(&[news(8, false), news(7, true)]), new);
-    assert_eq!(state_after(&[news(8, false), news(7, false)]), new);
-    assert_eq!(state_after(&[news(7, false), news(7, true), news(8, false)]), new);
-    // A clock that was set back between two runs makes the later one look earlier.
-    let set_back = [news(8, false), news(8, true), news(7, false)];
+    assert_eq!(state_after(&[update(8, false), update(7, true)]), new);
+    assert_eq!(state_after(&[update(8, false), update(7, false)]), new);
+    assert_eq!(state_after(&[update(7, false), update(7, true), update(8, false)]), new);
+    // A clock that is set back between two starts makes the later incarnation look earlier.
+    let set_back = [update(8, false), update(8, true), update(7, false)];
     assert_eq!(state_after(&set_back), (EntryState::Live, Some(Incarnation::new(7))));
 }
 
-/// An entry that is called seldom has not answered three calls in a row. It was heard in between,
-/// since it calls others itself: then it is not suspected.
+/// Guards against suspecting a rarely called entry that has not answered three consecutive calls
+/// but was seen in between, since it calls others itself.
 #[test]
-fn who_answers_no_call_is_suspected_unless_it_was_heard() {
+fn an_unresponsive_vm_is_suspected_unless_seen_recently() {
     let mut view =
         MembershipView::new(ViewConfig::default(), &announcement(0, false, 0), Mono::ZERO);
     view.receive_heartbeat(&announcement(1, false, 0), Mono::ZERO);
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -1,4 +1,4 @@
-//! The view under lag, pauses, restarts and leaving.
+//! The membership view under lagging lists, pauses, restarts and planned stops.
 
 #![expect(clippy::unwrap_used, reason = "a test builder may end the test")]
 
@@ -31,12 +31,12 @@
     }
 }
 
-fn says(number: u8, incarnation: u64, leaving: bool) -> Announcement {
+fn announcement(number: u8, incarnation: u64, leaving: bool) -> Announcement {
     let listed = ListedVm { leaving, ..listed(number) };
     Announcement { listed, incarnation: Incarnation::new(incarnation), round: 0 }
 }
 
-/// Sets up a view of VM 0 in a chain of events, one second apart.
+/// Builds a view of VM 0 by a chain of events.
 struct Case {
     view: MembershipView,
     now: Mono,
@@ -44,24 +44,25 @@
 
 impl Case {
     fn new() -> Self {
-        let view = MembershipView::new(ViewConfig::default(), &says(0, 100, false), Mono::ZERO);
+        let view =
+            MembershipView::new(ViewConfig::default(), &announcement(0, 100, false), Mono::ZERO);
         Self { view, now: Mono::ZERO }
     }
 
     fn with_list(mut self, revision: u64, numbers: &[u8]) -> Self {
         let list: Vec<ListedVm> = numbers.iter().map(|number| listed(*number)).collect();
         self.view.set_published(Revision::new(revision), &list, self.now);
-        self.watching_all()
+        self.monitoring_all()
     }
 
-    fn watching_all(mut self) -> Self {
+    fn monitoring_all(mut self) -> Self {
         let all: BTreeSet<VmId> = self.view.entries().into_iter().map(|entry| entry.vm).collect();
         self.view.monitor(&all, self.now);
         self
     }
 
     fn with_heartbeat(mut self, number: u8, incarnation: u64, leaving: bool) -> Self {
-        self.view.receive_heartbeat(&says(number, incarnation, leaving), self.now);
+        self.view.receive_heartbeat(&announcement(number, incarnation, leaving), self.now);
         self
     }
 
@@ -78,15 +79,15 @@
 }
 
 #[test]
-fn a_silent_vm_is_suspected_and_the_own_one_never() {
+fn a_silent_vm_is_suspected_but_never_the_local_one() {
     let case = Case::new().with_list(1, &[0, 1]).with_wait(3);
     assert_eq!(Some(EntryState::Suspected), case.state(1));
     assert_eq!(Some(EntryState::Live), case.state(0));
 }
 
-/// A VM is paused, its replacement starts under the same name, and the paused process wakes up.
-/// Its late heartbeat would bring back the state of the ended run, and callers would be refused.
-/// The cause is a message that outlives its sender's replacement.
+/// Guards against a late heartbeat of an ended incarnation. A VM is paused, its replacement starts
+/// under the same name, and the paused process resumes. The state of the ended incarnation would
+/// come back and callers would be rejected.
 #[test]
 fn a_heartbeat_of_an_ended_incarnation_is_ignored() {
     let case = Case::new()
@@ -96,29 +97,27 @@
     assert_eq!(Some(EntryState::Live), case.state(1));
 }
 
-/// A VM says that it leaves while the platform's list still calls it live.
-/// Callers would be sent to a VM that is about to stop.
-/// The cause is the list's lag; the VM's own word must win.
+/// Guards against sending callers to a VM that is about to stop because the lagging platform list
+/// still has it as live. The VM's own announcement must take precedence.
 #[test]
-fn a_leaving_notice_wins_over_a_lagging_list() {
+fn a_leaving_announcement_overrides_a_lagging_list() {
     let case = Case::new().with_heartbeat(1, 1, true).with_list(1, &[0, 1]);
     assert_eq!(Some(EntryState::Leaving), case.state(1));
 }
 
-/// A replica of the platform answers with an old list after a newer one was seen.
-/// A VM that was taken off the list would be listed again for good.
-/// The cause is a replica that lags behind its peers.
+/// Guards against a removed VM that is listed again permanently because a lagging replica of the
+/// platform returns an old list after a newer one was seen.
 #[test]
-fn a_lower_list_is_ignored() {
+fn a_list_of_lower_revision_is_ignored() {
     let mut case = Case::new().with_list(2, &[0]).with_list(1, &[0, 1]).with_wait(61);
     case.view.expire(case.now);
     assert_eq!(None, case.state(1));
 }
 
-/// A process is stopped for a minute and resumed.
-/// All peers look silent, although only its own clock ran on, and every one would be suspected.
+/// Guards against a process that suspects all peers after a pause of a minute: they seem silent
+/// although only its own clock has advanced.
 #[test]
-fn a_resumed_process_does_not_suspect_everyone() {
+fn a_resumed_process_does_not_suspect_others() {
     let mut case = Case::new().with_list(1, &[0, 1, 2]);
     case.now = case.now.plus(Duration::from_secs(60));
     case.view.handle_resume(case.now);
@@ -160,9 +159,9 @@
     })
 }
 
-/// An answer to a caller names a VM that is leaving, or names nobody although one is there.
+/// Guards against responses that list a leaving VM, or no VM although one is available.
 #[test]
-fn answers_never_name_leaving_vms_and_are_never_empty() {
+fn responses_have_no_leaving_vms_and_are_never_empty() {
     fn property(events: Events, rotation: u64) -> bool {
         let case = run(&events);
         let entries = case.view.entries();
@@ -194,8 +193,8 @@
     }
 }
 
-/// One VM of nine is lost.
-/// If groups were reshuffled, callers of every service would change entries at once.
+/// Guards against reshuffled groups, with which the loss of one VM of nine would move the callers
+/// of every service at once.
 #[test]
 fn losing_a_vm_changes_only_the_groups_it_was_in() {
     let all = Case::new().with_list(1, &[0, 1, 2, 3, 4, 5, 6, 7, 8]);
@@ -220,49 +219,51 @@
     }
 }
 
-/// Guards against a VM that answers late and is taken for lost and found again many times a minute.
+/// Guards against a VM that responds late and is taken for lost and found again many times a
+/// minute.
 #[test]
-fn a_vm_that_was_suspected_wrongly_may_be_silent_for_longer() {
+fn wrong_suspicions_extend_the_allowed_silence() {
     let config = ViewConfig { suspect_after: Duration::from_millis(500), ..ViewConfig::default() };
-    let mut view = MembershipView::new(config, &says(0, 100, false), Mono::ZERO);
+    let mut view = MembershipView::new(config, &announcement(0, 100, false), Mono::ZERO);
     let mut now = Mono::ZERO;
     let mut silences = Vec::new();
     for _ in 0..4 {
-        view.receive_heartbeat(&says(1, 7, false), now);
+        view.receive_heartbeat(&announcement(1, 7, false), now);
         view.monitor(&BTreeSet::from([vm(1)]), now);
-        let begun = now;
+        let started_at = now;
         while view.entries().iter().all(|entry| entry.state != EntryState::Suspected) {
             now = now.plus(Duration::from_millis(10));
             view.expire(now);
         }
-        silences.push(now.since(begun).as_millis());
+        silences.push(now.since(started_at).as_millis());
         now = now.plus(Duration::from_millis(100));
     }
     assert_eq!(silences, [510, 1010, 2010, 2010]);
 }
 
-/// Guards against a VM that was cut off for long and whose next loss is noticed late.
+/// Guards against late detection of the next loss of a VM that was unreachable for a long time.
 #[test]
-fn a_vm_that_was_gone_for_long_was_not_suspected_wrongly() {
-    let mut case = Case::new().with_heartbeat(1, 7, false).watching_all().with_wait(3);
+fn a_long_absence_does_not_extend_the_allowed_silence() {
+    let mut case = Case::new().with_heartbeat(1, 7, false).monitoring_all().with_wait(3);
     assert_eq!(case.state(1), Some(EntryState::Suspected));
     case = case.with_wait(10).with_heartbeat(1, 7, false).with_wait(3);
     assert_eq!(case.state(1), Some(EntryState::Suspected));
 }
 
-/// Guards against a VM that lives and is left out for good: whoever heard it knows better, and nobody
-/// tells it of the suspicion that all others go by.
+/// Guards against a live VM that is left out permanently because nobody sends it the suspicion that
+/// the others hold; the receivers of its heartbeats no longer hold it.
 #[test]
-fn a_vm_that_is_heard_again_is_told_of_the_suspicion_until_it_refutes_it() {
-    let mut case = Case::new().with_heartbeat(1, 7, false).watching_all().with_wait(3);
-    assert_eq!(case.view.suspicion_of(&vm(1)), None, "it has not been heard since");
+fn a_returning_vm_receives_the_suspicion_until_it_refutes_it() {
+    let mut case = Case::new().with_heartbeat(1, 7, false).monitoring_all().with_wait(3);
+    assert_eq!(case.view.suspicion_of(&vm(1)), None, "it has not been seen since");
     case = case.with_heartbeat(1, 7, false);
-    let news = case.view.suspicion_of(&vm(1)).unwrap();
-    assert!(news.suspected);
-    let mut suspected = MembershipView::new(ViewConfig::default(), &says(1, 7, false), Mono::ZERO);
-    suspected.receive_update(&news, Mono::ZERO);
-    assert_eq!(suspected.own_round(), news.about.round + 1);
-    let refuted = Announcement { round: suspected.own_round(), ..says(1, 7, false) };
+    let update = case.view.suspicion_of(&vm(1)).unwrap();
+    assert!(update.suspected);
+    let mut suspected =
+        MembershipView::new(ViewConfig::default(), &announcement(1, 7, false), Mono::ZERO);
+    suspected.receive_update(&update, Mono::ZERO);
+    assert_eq!(suspected.own_round(), update.about.round + 1);
+    let refuted = Announcement { round: suspected.own_round(), ..announcement(1, 7, false) };
     case.view.receive_heartbeat(&refuted, case.now);
     assert_eq!(case.view.suspicion_of(&vm(1)), None);
 }
