--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -7,12 +7,12 @@
 
 use shallotfork_balance::SlotTarget;
 use shallotfork_evacuation::Evacuations;
-use shallotfork_feed::{Archive, CatchUp, Feed, Packer, Uplink};
+use shallotfork_feed::{Archive, Feed, Packer, PullScheduler, Uplink};
 use shallotfork_fleet::{FleetMember, FleetView, OwnState};
 use shallotfork_membership::{Announcement, ListedVm};
 use shallotfork_peer::Bundle;
 use shallotfork_roster::Roster;
-use shallotfork_routes::InForce;
+use shallotfork_routes::TableInForce;
 use shallotfork_types::{Endpoint, Mono, Revision, ServiceName};
 use tokio::sync::{Notify, watch};
 
@@ -32,7 +32,7 @@
     /// Connections to other entries.
     pub peers: Peers,
     /// The routes in force.
-    pub in_force: RefCell<InForce>,
+    pub in_force: RefCell<TableInForce>,
     /// The targets.
     pub roster: RefCell<Roster>,
     /// The evacuations of failure domains.
@@ -46,7 +46,7 @@
     /// All small items as they are handed on together, and at which revision.
     pub whole_bundle: RefCell<Option<(Revision, Bundle)>>,
     /// When other entries are asked for published items.
-    pub catch_up: RefCell<CatchUp>,
+    pub catch_up: RefCell<PullScheduler>,
     /// Other entries that may be read from when the one that is read from is busy.
     pub sources: RefCell<Vec<Source>>,
     /// What other entries were told.
--- a/crates/gateway/src/control/thread.rs
+++ b/crates/gateway/src/control/thread.rs
@@ -11,7 +11,7 @@
 use anyhow::{Context as _, Result};
 use shallotfork_peer::{PeerConfig, PeerId, PeerKey, PeerServer};
 use shallotfork_roster::{Roster, RosterConfig};
-use shallotfork_routes::InForce;
+use shallotfork_routes::TableInForce;
 use shallotfork_timer::{Schedule, TimerService};
 use shallotfork_types::Endpoint;
 use tokio::net::TcpListener;
@@ -29,7 +29,7 @@
 use crate::control::telling::{TellCount, report_told};
 use crate::traffic::apply_rate_limit;
 use shallotfork_evacuation::Evacuations;
-use shallotfork_feed::{Archive, CatchUp, Feed, Packer, Uplink};
+use shallotfork_feed::{Archive, Feed, Packer, PullScheduler, Uplink};
 use shallotfork_fleet::FleetMember;
 
 /// Time to open a connection to an entry or to have an answer; shorter than the silence after which
@@ -172,14 +172,14 @@
     State {
         fleet: RefCell::new(FleetMember::new(own_announcement(&context), context.clock.now())),
         peers: Peers::new(key.clone(), own.clone(), peer_config()),
-        in_force: RefCell::new(InForce::new()),
+        in_force: RefCell::new(TableInForce::new()),
         roster: RefCell::new(Roster::new(RosterConfig::default())),
         evacuations: RefCell::new(Evacuations::new()),
         feed,
         archive: RefCell::new(Archive::new()),
         packer: RefCell::new(Packer::new()),
         whole_bundle: RefCell::default(),
-        catch_up: RefCell::new(CatchUp::new()),
+        catch_up: RefCell::new(PullScheduler::new()),
         sources: RefCell::default(),
         told: TellCount::default(),
         uplink: RefCell::new(Uplink::new(context.settings.link)),
--- a/crates/shallotd/src/control/members.rs
+++ b/crates/shallotd/src/control/members.rs
@@ -31,7 +31,7 @@
     let schedule = Schedule::new(period).with_jitter(period / 10);
     let mut subscription = timer.subscribe(schedule);
     while let Some(tick) = subscription.tick().await {
-        if tick.late > period * PAUSED_HEARTBEATS {
+        if tick.delay > period * PAUSED_HEARTBEATS {
             state.view.borrow_mut().handle_resume(tick.now);
         }
         let chosen = chosen(&state);
@@ -117,8 +117,8 @@
         peers: identity.peers,
         round: view.own_round(),
         news: view.take_due_updates().into_iter().map(peer_news).collect(),
-        seen_revision: lists.cursor.highest(),
-        synced_revision: lists.cursor.complete(),
+        seen_revision: lists.cursor.highest_revision(),
+        synced_revision: lists.cursor.synced_revision(),
         lists_digest: lists.digest(),
         platform_lost: state.platform_lost.get(),
         platform: PlatformWord::default(),
