--- /dev/null
+++ b/crates/fleet/src/heartbeat.rs
@@ -0,0 +1,27 @@
+//! The periodic message between entries.
+
+use shallotfork_membership::{Announcement, MemberUpdate};
+use shallotfork_types::ListsDigest;
+
+use crate::platform_availability::PlatformAges;
+
+/// A heartbeat: the state of its sender and what the sender knows of other entries.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct FleetHeartbeat {
+    /// Announcement of the sender.
+    pub from: Announcement,
+    /// Whether the sender has no routes yet.
+    pub is_starting: bool,
+    /// Membership updates about other entries.
+    pub updates: Vec<MemberUpdate>,
+    /// Digest of the core entries in the sender's view.
+    pub core_digest: ListsDigest,
+    /// Whether the sender is disconnected from the platform.
+    pub is_disconnected: bool,
+    /// What the sender knows of the platform's availability.
+    pub platform: PlatformAges,
+    /// Number of live entries in the sender's failure domain, as far as it knows.
+    pub domain_entries: u32,
+    /// Whether the sender is overloaded, or was a short time ago.
+    pub is_overloaded: bool,
+}
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,32 +1,33 @@
-//! How the entries of a fleet share work: whom callers are sent to, who reads the platform,
-//! how often heartbeats are exchanged, and whether the platform answers any of them.
+//! How the entries of a fleet share work: which of them are advertised to callers, which read the
+//! platform, how often heartbeats are exchanged, and whether the platform is available.
 //!
-//! Pure decisions, which every entry makes by itself from what it knows of the others.
+//! All decisions are pure functions of the state that an entry holds about the others; each entry
+//! makes them by itself.
 
-mod active;
-mod beat;
-mod beliefs;
+mod advertised;
 mod contacts;
-mod heads;
-mod helpers;
+mod core_entries;
+mod core_sync;
+mod discovery;
+mod fleet_view;
+mod heartbeat;
+mod intervals;
 mod member;
-mod order;
-mod outreach;
-mod pace;
+mod overflow;
+mod platform_availability;
+mod ranking;
 mod readers;
-mod sight;
-mod told;
-mod words;
+mod reported_states;
 
-pub use active::{AdvertisedEntry, Regions, active_entries, endpoints_for_caller};
-pub use beat::FleetHeartbeat;
-pub use beliefs::FleetView;
-pub use contacts::{Contacts, Standing, contacts};
-pub use heads::heads;
-pub use helpers::with_helpers;
+pub use advertised::{AdvertisedEntry, Regions, endpoints_for_caller, select_advertised_entries};
+pub use contacts::{Contacts, FleetPosition, select_contacts};
+pub use core_entries::select_core_entries;
+pub use discovery::choose_initial_seed;
+pub use fleet_view::FleetView;
+pub use heartbeat::FleetHeartbeat;
+pub use intervals::{HEARTBEAT_PERIOD, local_interval_periods, propagation_delay};
 pub use member::{FleetMember, OwnState};
-pub use order::{Candidate, fleet_order};
-pub use outreach::choose_initial_seed;
-pub use pace::{HEARTBEAT_PERIOD, near_periods, propagation_delay};
-pub use readers::{choose_readers, may_have_to_read};
-pub use sight::{PlatformAges, PlatformAvailability};
+pub use overflow::add_overflow_entries;
+pub use platform_availability::{PlatformAges, PlatformAvailability};
+pub use ranking::{Candidate, rank_entries};
+pub use readers::{choose_readers, may_become_reader};
