--- a/crates/evacuation/src/evacuations.rs
+++ b/crates/evacuation/src/evacuations.rs
@@ -1,51 +1,52 @@
-//! Evacuations of failure domains, as published.
+//! Published evacuations of failure domains.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use shallotfork_types::{FailureDomain, Mono, Revision};
 
-/// Ended evacuations that are remembered, so that older news does not bring them back.
-const ENDED_MAX: usize = 1024;
+/// Maximum number of ended evacuations whose revisions are retained, so that outdated changes do not
+/// restore them.
+const ENDED_RECORDS_MAX: usize = 1024;
 
-/// What is published of a failure domain.
+/// Published state of a failure domain's evacuation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PublishedState {
-    /// It is to be evacuated.
+    /// The failure domain is to be evacuated.
     Evacuated,
-    /// Something that can't be read; what was in force stays.
+    /// The published item cannot be decoded; the previous state stays in force.
     Unreadable,
-    /// Nothing, or nothing any more.
+    /// No item is published, or it has been removed.
     Removed,
 }
 
-/// One published change of an evacuation.
+/// A published change of the evacuation of one failure domain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuationChange {
     /// The failure domain.
     pub failure_domain: FailureDomain,
     /// Revision of the change.
     pub revision: Revision,
-    /// What is published since then.
+    /// Published state as of this revision.
     pub published: PublishedState,
 }
 
-/// A failure domain whose targets get nothing more.
+/// An evacuation in force: targets in the failure domain receive no new requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Evacuation {
     /// The failure domain.
     pub failure_domain: FailureDomain,
-    /// Revision of the operator's request.
+    /// Revision at which the operator requested the evacuation.
     pub revision: Revision,
-    /// When this process learned of it.
+    /// When this process learned of the evacuation.
     pub learned_at: Mono,
 }
 
-/// A change of what is in force.
+/// Start or end of an evacuation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EvacuationEvent {
-    /// The failure domain is evacuated from now on.
+    /// The evacuation has come into force.
     Began(Evacuation),
-    /// The operator has taken the failure domain back. Holds the evacuation that has ended.
+    /// The operator has ended the evacuation. Holds its last state.
     Ended(Evacuation),
 }
 
@@ -58,31 +59,31 @@
 
 /// The evacuations in force.
 ///
-/// A change counts only if its revision is not below the one known for its failure domain, nor below
-/// that of the latest full read: full reads may be stale and overlap with the watch, and an evacuation
-/// must not revert.
+/// Ignores a change if its revision is below the latest known one of its failure domain or below that
+/// of the latest full read. Full reads may be stale and may overlap with the watch, and must not revert
+/// an evacuation to an earlier state.
 #[derive(Debug, Default)]
 pub struct Evacuations {
     records: BTreeMap<FailureDomain, Record>,
-    /// Revision of the latest full read, which older changes are part of or superseded by.
-    read_through: Revision,
+    /// Revision of the latest full read. Older changes are part of it or superseded by it.
+    full_read_revision: Revision,
 }
 
 impl Evacuations {
-    /// Creates a set without evacuations.
+    /// Creates an empty set.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Applies changes in the order in which they were published.
+    /// Applies changes, which must be in the order in which they were published.
     pub fn apply(&mut self, changes: Vec<EvacuationChange>, now: Mono) -> Vec<EvacuationEvent> {
         let events = changes.into_iter().filter_map(|change| self.apply_one(change, now)).collect();
-        self.forget_oldest_ended();
+        self.evict_oldest_ended();
         events
     }
 
-    /// Applies a full read as of `revision`: an evacuation that it lacks has ended, unless it was
-    /// published later.
+    /// Applies a full read as of `revision`. Ends each evacuation that the read does not contain, unless
+    /// it was published after `revision`.
     pub fn replace(
         &mut self,
         published: Vec<EvacuationChange>,
@@ -102,8 +103,8 @@
                 EvacuationChange { failure_domain, revision, published: PublishedState::Removed };
             events.extend(self.apply_one(ended, now));
         }
-        self.read_through = self.read_through.max(revision);
-        self.forget_oldest_ended();
+        self.full_read_revision = self.full_read_revision.max(revision);
+        self.evict_oldest_ended();
         events
     }
 
@@ -112,10 +113,10 @@
         self.records.get(failure_domain).is_some_and(|record| record.evacuated_at.is_some())
     }
 
-    /// Returns the evacuations in force by failure domain.
+    /// Returns the evacuations in force, by failure domain.
     pub fn in_force(&self) -> BTreeMap<FailureDomain, Evacuation> {
-        let known = self.records.iter();
-        known
+        let records = self.records.iter();
+        records
             .filter_map(|(name, record)| Some((name.clone(), evacuation(name, *record)?)))
             .collect()
     }
@@ -123,8 +124,8 @@
     fn apply_one(&mut self, change: EvacuationChange, now: Mono) -> Option<EvacuationEvent> {
         let EvacuationChange { failure_domain, revision, published } = change;
         let before = self.records.get(&failure_domain).copied();
-        let known = before.map_or(Revision::NONE, |before| before.revision);
-        if revision < known.max(self.read_through) {
+        let known_revision = before.map_or(Revision::NONE, |before| before.revision);
+        if revision < known_revision.max(self.full_read_revision) {
             return None;
         }
         let evacuated_before = before.and_then(|before| before.evacuated_at);
@@ -142,12 +143,12 @@
         }
     }
 
-    /// Bounds the memory that the names of ended evacuations take.
-    fn forget_oldest_ended(&mut self) {
+    /// Removes the oldest records of ended evacuations, to bound memory.
+    fn evict_oldest_ended(&mut self) {
         let ended = self.records.iter().filter(|(_, record)| record.evacuated_at.is_none());
         let mut ended: Vec<(Revision, FailureDomain)> =
             ended.map(|(domain, record)| (record.revision, domain.clone())).collect();
-        let excess = ended.len().saturating_sub(ENDED_MAX);
+        let excess = ended.len().saturating_sub(ENDED_RECORDS_MAX);
         ended.sort();
         for (_, domain) in ended.into_iter().take(excess) {
             self.records.remove(&domain);
--- a/crates/evacuation/src/lib.rs
+++ b/crates/evacuation/src/lib.rs
@@ -1,4 +1,4 @@
-//! Which failure domains an operator has evacuated.
+//! Tracks which failure domains an operator has evacuated.
 
 mod evacuations;
 
--- a/crates/evacuation/tests/evacuations.rs
+++ b/crates/evacuation/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuations as they are published, read late, in part or twice.
+//! Tests of evacuations under stale, partial and repeated reads.
 
 use std::collections::BTreeSet;
 
@@ -27,27 +27,28 @@
     names.iter().map(|name| domain(name)).collect()
 }
 
-/// Guards against a stale full read that brings a failure domain back which is evacuated.
+/// Guards against a stale full read that ends a current evacuation.
 #[test]
-fn a_full_read_from_before_the_evacuation_does_not_end_it() {
+fn stale_full_read_does_not_end_an_evacuation() {
     let mut evacuations = Evacuations::new();
     evacuations.apply(vec![change("hall", 9, true)], at(0));
     assert_eq!(evacuations.replace(Vec::new(), Revision::new(8), at(1)), []);
     assert!(evacuations.contains(&domain("hall")));
 }
 
-/// Guards against a stale full read that evacuates a failure domain again which was taken back.
+/// Guards against a stale full read that restores an evacuation after its end.
 #[test]
-fn a_full_read_from_before_the_end_does_not_begin_it_again() {
+fn stale_full_read_does_not_restore_an_ended_evacuation() {
     let mut evacuations = Evacuations::new();
     evacuations.apply(vec![change("hall", 5, true), change("hall", 9, false)], at(0));
     assert_eq!(evacuations.replace(vec![change("hall", 5, true)], Revision::new(8), at(1)), []);
     assert!(!evacuations.contains(&domain("hall")));
 }
 
-/// Guards against an evacuation that lasts for ever because its end fell into lost history.
+/// Guards against an evacuation that never ends because its removal was in history that the platform
+/// no longer keeps.
 #[test]
-fn a_later_full_read_without_it_ends_an_evacuation() {
+fn full_read_without_the_item_ends_an_evacuation() {
     let mut evacuations = Evacuations::new();
     evacuations.apply(vec![change("hall", 5, true)], at(0));
     let events = evacuations.replace(Vec::new(), Revision::new(8), at(1));
@@ -55,15 +56,16 @@
     assert_eq!(names(&evacuations), BTreeSet::new());
 }
 
-/// Guards against two evacuations that end each other, and against losing when the first began.
+/// Guards against concurrent evacuations that end each other, and against a repeated request that
+/// resets when an evacuation began.
 #[test]
-fn evacuations_overlap_and_repeat() {
+fn concurrent_and_repeated_evacuations() {
     let mut evacuations = Evacuations::new();
     evacuations.apply(vec![change("hall", 5, true)], at(10));
     evacuations.apply(vec![change("barn", 6, true), change("hall", 7, true)], at(20));
     assert_eq!(names(&evacuations), evacuated(&["barn", "hall"]));
     let learned: Vec<Mono> =
-        evacuations.in_force().values().map(|known| known.learned_at).collect();
+        evacuations.in_force().values().map(|evacuation| evacuation.learned_at).collect();
     assert_eq!(learned, [at(20), at(10)]);
     evacuations.apply(vec![change("hall", 8, false)], at(30));
     assert_eq!(names(&evacuations), evacuated(&["barn"]));
@@ -71,9 +73,9 @@
     assert_eq!(names(&evacuations), evacuated(&["barn", "hall"]));
 }
 
-/// Guards against an evacuation that ends because its item was overwritten by one that can't be read.
+/// Guards against an evacuation that ends because its item was overwritten with undecodable content.
 #[test]
-fn what_cannot_be_read_neither_begins_nor_ends_an_evacuation() {
+fn undecodable_item_does_not_change_an_evacuation() {
     let unreadable = |revision| EvacuationChange {
         published: PublishedState::Unreadable,
         ..change("hall", revision, true)
@@ -86,30 +88,30 @@
     assert!(evacuations.contains(&domain("hall")));
 }
 
-/// Guards against reverting, whatever mix of late, repeated and partial news arrives: once a
-/// revision has been in force, no older state of the failure domain is.
+/// Guards against reverting to an older state of a failure domain when delayed, repeated and partial
+/// reads arrive in any order.
 #[test]
-fn what_is_in_force_never_goes_back() {
-    fn property(news: Vec<(u8, bool, bool)>) -> bool {
+fn state_in_force_never_reverts() {
+    fn property(reads: Vec<(u8, bool, bool)>) -> bool {
         let mut evacuations = Evacuations::new();
-        let mut newest = None;
-        for (number, whole, repeats) in news {
-            // The operator's requests alternate: odd revisions evacuate, even ones take back.
+        let mut newest_revision = None;
+        for (number, is_full, is_repeated) in reads {
+            // The operator's requests alternate: odd revisions evacuate, even ones end the evacuation.
             let revision = u64::from(number) + 1;
-            let published = change("hall", revision, revision % 2 == 1);
-            let of_read = Revision::new(revision);
-            let times = if repeats { 2 } else { 1 };
+            let change_read = change("hall", revision, revision % 2 == 1);
+            let read_revision = Revision::new(revision);
+            let times = if is_repeated { 2 } else { 1 };
             for _ in 0..times {
-                if !whole {
-                    evacuations.apply(vec![published.clone()], at(0));
-                } else if published.published == PublishedState::Evacuated {
-                    evacuations.replace(vec![published.clone()], of_read, at(0));
+                if !is_full {
+                    evacuations.apply(vec![change_read.clone()], at(0));
+                } else if change_read.published == PublishedState::Evacuated {
+                    evacuations.replace(vec![change_read.clone()], read_revision, at(0));
                 } else {
-                    evacuations.replace(Vec::new(), of_read, at(0));
+                    evacuations.replace(Vec::new(), read_revision, at(0));
                 }
             }
-            newest = newest.max(Some(revision));
-            let expected = newest.is_some_and(|revision| revision % 2 == 1);
+            newest_revision = newest_revision.max(Some(revision));
+            let expected = newest_revision.is_some_and(|revision| revision % 2 == 1);
             if evacuations.contains(&domain("hall")) != expected {
                 return false;
             }
--- a/crates/measure/src/connection_budget.rs
+++ b/crates/measure/src/connection_budget.rs
@@ -1,4 +1,4 @@
-//! How many connections this process may open and hold to each target.
+//! Limits on the connections that this process opens and holds to each target.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,121 +6,124 @@
 use shallotfork_types::{Mono, PerSecond, TargetId};
 
 use crate::FleetShare;
-use crate::probe_plan::WINDOW;
+use crate::probe_scheduler::BUDGET_WINDOW;
 
-/// How many connections may be opened to each target, over the whole fleet.
+/// Fleet-wide limits on new connections to each target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// Connections in any second to one target; each takes about 1 ms of it, as the users measured.
+    /// New connections to one target in any second; each takes about 1 ms of the target's time.
     pub new_connections: PerSecond,
 }
 
 impl Default for ConnectionLimits {
-    /// 144 a second: 7 parts in 100 of a target with two slots if all entries reconnect at once.
+    /// Allows 144 per second, which take about 7% of the time of a target with two slots if all entries
+    /// reconnect at once.
     fn default() -> Self {
         Self { new_connections: PerSecond::new(144) }
     }
 }
 
-/// Leave to open one connection now; give it back with `ConnectionBudget::release`.
+/// Permit to open one connection immediately; return it with [`ConnectionBudget::release`].
 #[derive(Debug, PartialEq, Eq)]
 pub struct ConnectionPermit {
     target: TargetId,
 }
 
 #[derive(Debug)]
-struct Opening {
-    /// No new connection before this time.
-    next: Mono,
-    outstanding: bool,
+struct ConnectionSchedule {
+    /// Earliest time of the next connection attempt.
+    next_at: Mono,
+    is_outstanding: bool,
 }
 
-/// Spaces new connections and bounds open ones by this process's fixed share.
+/// Spaces new connections and limits open ones according to this process's fixed share.
 ///
-/// The fleet's sum holds for the same reasons as that of probes (see `ProbeScheduler`): no view of
-/// peers enters, a new process waits one spacing, and the spacing counts from the end of the
-/// attempt to connect.
+/// The fleet-wide limit holds for the same reasons as that of probes (see
+/// [`ProbeScheduler`](crate::ProbeScheduler)): it does not depend on a view of the fleet, a new process
+/// waits for one spacing, and the spacing is counted from the end of a connection attempt.
 #[derive(Debug)]
 pub struct ConnectionBudget {
     limits: ConnectionLimits,
     share: FleetShare,
-    targets: BTreeMap<TargetId, Opening>,
+    targets: BTreeMap<TargetId, ConnectionSchedule>,
 }
 
 impl ConnectionBudget {
-    /// A budget without targets.
+    /// Creates a budget without targets.
     pub fn new(limits: ConnectionLimits, share: FleetShare) -> Self {
         Self { limits, share, targets: BTreeMap::new() }
     }
 
-    /// Takes the list of targets. New ones may be connected to after one spacing.
+    /// Sets the list of targets. New ones may be connected to after one spacing.
     pub fn set_targets(&mut self, targets: &[TargetId], now: Mono) {
         let gone: Vec<TargetId> =
             self.targets.keys().filter(|known| !targets.contains(known)).cloned().collect();
         self.change_targets(&gone, targets, now);
     }
 
-    /// Takes a change of the list: targets that are gone, and targets that may be new.
+    /// Updates the list of targets: `gone` are removed, and those of `present` that are unknown are added.
     pub fn change_targets(&mut self, gone: &[TargetId], present: &[TargetId], now: Mono) {
         for target in gone {
             self.targets.remove(target);
         }
-        let next = now.plus(self.spacing());
+        let next_at = now.plus(self.spacing());
         for target in present {
-            let first = || Opening { next, outstanding: false };
-            self.targets.entry(target.clone()).or_insert_with(first);
+            let new_schedule = || ConnectionSchedule { next_at, is_outstanding: false };
+            self.targets.entry(target.clone()).or_insert_with(new_schedule);
         }
     }
 
-    /// How many connections this process may hold open to a target that takes `connections_max`.
+    /// Returns how many open connections this process may hold to a target that accepts
+    /// `connections_max`.
     ///
-    /// At least one: a fleet larger than the limit could not reach the target at all otherwise.
+    /// The minimum is one, because processes of a fleet larger than the limit could not reach the target
+    /// otherwise.
     pub fn open_max(&self, connections_max: u32) -> u32 {
         (connections_max / self.share.count()).max(1)
     }
 
-    /// Leave to open a connection at this moment; otherwise when to ask again.
+    /// Returns a permit to open a connection now.
     ///
     /// # Errors
-    /// The earliest time to ask again; `None` when the target is unknown or another connection
-    /// is being opened, whose end is to be awaited.
+    /// Returns the earliest time to try again; `None` if the target is unknown or another connection
+    /// attempt is in progress, whose end must be awaited.
     pub fn try_acquire(
         &mut self,
         target: &TargetId,
         now: Mono,
     ) -> Result<ConnectionPermit, Option<Mono>> {
-        let opening = self.targets.get_mut(target).ok_or(None)?;
-        if opening.outstanding {
+        let schedule = self.targets.get_mut(target).ok_or(None)?;
+        if schedule.is_outstanding {
             return Err(None);
         }
-        if now < opening.next {
-            return Err(Some(opening.next));
+        if now < schedule.next_at {
+            return Err(Some(schedule.next_at));
         }
-        opening.outstanding = true;
+        schedule.is_outstanding = true;
         Ok(ConnectionPermit { target: target.clone() })
     }
 
-    /// Notes that an attempt to connect ended, either way.
+    /// Takes back the permit of a connection attempt that has succeeded or failed.
     pub fn release(&mut self, permit: ConnectionPermit, now: Mono) {
-        let next = now.plus(self.spacing());
-        if let Some(opening) = self.targets.get_mut(&permit.target) {
-            *opening = Opening { next, outstanding: false };
+        let next_at = now.plus(self.spacing());
+        if let Some(schedule) = self.targets.get_mut(&permit.target) {
+            *schedule = ConnectionSchedule { next_at, is_outstanding: false };
         }
     }
 
-    /// Time between two new connections of this process to a target.
+    /// Returns the interval between two new connections of this process to a target.
     ///
-    /// Where the budget has less than one connection a second for each share, every process must
-    /// still reach the target: the budget then holds over the spacing instead of the second.
+    /// If the budget allows less than one connection per second and share, it is kept over the spacing
+    /// instead of over a second, so that every process can still reach the target.
     pub fn spacing(&self) -> Duration {
-        let fleet_a_second = f64::from(self.limits.new_connections.value());
-        let own_a_second = fleet_a_second / f64::from(self.share.count());
-        if own_a_second >= 1.0 {
-            return WINDOW.div_f64(own_a_second.floor());
+        let fleet_per_second = f64::from(self.limits.new_connections.value());
+        let own_per_second = fleet_per_second / f64::from(self.share.count());
+        if own_per_second >= 1.0 {
+            return BUDGET_WINDOW.div_f64(own_per_second.floor());
         }
-        WINDOW.div_f64(own_a_second.max(SLOWEST_A_SECOND))
+        BUDGET_WINDOW.div_f64(own_per_second.max(MIN_RATE_PER_SECOND))
     }
 }
 
-/// A share below this rate still opens a connection in 100 s, to reach the target at all.
-const SLOWEST_A_SECOND: f64 = 0.01;
+/// Minimum rate of a share: one connection in 100 s, so that every process can reach the target.
+const MIN_RATE_PER_SECOND: f64 = 0.01;
--- a/crates/measure/src/share.rs
+++ b/crates/measure/src/fleet_share.rs
@@ -1,12 +1,12 @@
-//! The fixed part of a fleet-wide budget that one process may spend.
+//! The fixed part of a fleet-wide budget that one process may use.
 
 use std::error::Error;
 use std::fmt;
 
-/// One process's place among all that share a budget, from its settings.
+/// Share of one process in all fleet-wide budgets, from its settings.
 ///
-/// `count` is the largest number of processes that ever run at once, replacements included. It
-/// must be the same in all of them, and no two live processes may have the same `index`.
+/// `count` is the maximum number of processes that run concurrently, including replacements. It must be
+/// the same for all processes, and no two live processes may have the same `index`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetShare {
     index: u32,
@@ -14,10 +14,10 @@
 }
 
 impl FleetShare {
-    /// Checks and wraps a share.
+    /// Creates a share.
     ///
     /// # Errors
-    /// When `index` is not below `count`.
+    /// Returns an error if `index` is not below `count`.
     pub fn new(index: u32, count: u32) -> Result<Self, FleetShareError> {
         if index >= count {
             return Err(FleetShareError { index, count });
@@ -25,18 +25,18 @@
         Ok(Self { index, count })
     }
 
-    /// This process's number, from zero.
+    /// Returns the zero-based index of this process.
     pub fn index(self) -> u32 {
         self.index
     }
 
-    /// How many shares there are.
+    /// Returns the number of shares.
     pub fn count(self) -> u32 {
         self.count
     }
 }
 
-/// When a share's index is not below the number of shares.
+/// Error for a share whose index is not below the number of shares.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetShareError {
     index: u32,
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -1,22 +1,23 @@
-//! How much measuring a target may cost, what a target says of its own load, and how late this
-//! process does its work.
+//! Budgets for probes and connections, load and rate limits reported by targets, and the scheduling
+//! delay of this process.
 //!
-//! Pure decisions: time is handed in, nothing here does I/O. The budgets hold in every window of
-//! a second over the whole fleet because each process spends only a share that its settings fix;
-//! no view of peers enters, so views that differ can't break the sum.
+//! This crate performs no I/O and reads no clock; callers pass in the current time. The budgets hold
+//! over the whole fleet in every window of one second, because each process uses only a share that is
+//! fixed in its settings. They do not depend on a view of the fleet, so processes whose views differ
+//! cannot exceed them.
 
 mod connection_budget;
-mod lateness;
+mod fleet_share;
 mod load_report;
 mod probe_budget;
-mod probe_plan;
+mod probe_scheduler;
 mod rate_limits;
-mod share;
+mod scheduling_delay;
 
 pub use connection_budget::{ConnectionBudget, ConnectionLimits, ConnectionPermit};
-pub use lateness::SchedulingDelay;
+pub use fleet_share::{FleetShare, FleetShareError};
 pub use load_report::{LoadReport, LoadReportError};
 pub use probe_budget::{MeasuredTarget, ProbeBudget};
-pub use probe_plan::{ProbeOutcome, ProbePermit, ProbeScheduler};
+pub use probe_scheduler::{ProbeOutcome, ProbePermit, ProbeScheduler};
 pub use rate_limits::{RateLimitReport, RateLimits};
-pub use share::{FleetShare, FleetShareError};
+pub use scheduling_delay::SchedulingDelay;
--- a/crates/measure/src/load_report.rs
+++ b/crates/measure/src/load_report.rs
@@ -1,6 +1,6 @@
-//! What a target says of its own load, from the `endpoint-load-metrics` header of its answers.
+//! Load reports of targets, from the `endpoint-load-metrics` header of their answers.
 //!
-//! The header is that of the Open Request Cost Aggregation format (ORCA), in its text form
+//! The header has the Open Request Cost Aggregation (ORCA) format, in its text form
 //! (`TEXT cpu_utilization=0.3, named_metrics.in_flight=2`) or its JSON form
 //! (`JSON {"cpu_utilization": 0.3, "named_metrics": {"in_flight": 2}}`).
 
@@ -11,11 +11,11 @@
 use serde::Deserialize;
 use shallotfork_types::Permille;
 
-/// Longer headers are refused unread.
+/// Maximum length of a header; longer ones are rejected without being parsed.
 const MAX_HEADER_BYTES: usize = 4096;
-/// A target that claims more than this utilisation is taken to claim this.
+/// Reported utilisation is capped at this value.
 const MAX_UTILISATION: f64 = 10.0;
-/// Largest number of requests that a report may claim.
+/// Reported numbers of requests are capped at this value.
 const MAX_IN_FLIGHT: f64 = 1_000_000.0;
 
 const TEXT_PREFIX: &str = "TEXT ";
@@ -23,27 +23,27 @@
 const IN_FLIGHT: &str = "in_flight";
 const DRAINING: &str = "draining";
 
-/// A target's own account of its load at the time of one answer; every part may be missing.
+/// Load that a target reports with one answer; every part may be missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LoadReport {
-    /// Use of the target's processor or of its application's capacity; over 1000 when overloaded.
+    /// Utilisation of the target's processor or of its application's capacity; above 1000 if overloaded.
     pub utilisation: Option<Permille>,
-    /// Requests that the target runs or holds in its queue.
+    /// Number of requests that the target is running or has queued.
     pub in_flight: Option<u32>,
-    /// Whether the target says that it is leaving (`named_metrics.draining` above 0).
+    /// Whether the target reports that it is draining (`named_metrics.draining` above 0).
     pub draining: bool,
 }
 
-/// When a header is not a load report; it is then ignored.
+/// Error for a header that is not a load report, and is ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadReportError {
-    /// Longer than 4096 bytes.
+    /// The header is longer than 4096 bytes.
     TooLong,
-    /// Neither the text form nor the JSON form.
+    /// The header has neither the text form nor the JSON form.
     UnknownFormat,
-    /// The JSON form does not parse.
+    /// The JSON form is not valid JSON.
     InvalidJson,
-    /// A pair of the text form has no `=` or no number.
+    /// A pair in the text form has no `=` or no number.
     InvalidPair,
 }
 
@@ -61,7 +61,7 @@
 impl Error for LoadReportError {}
 
 #[derive(Debug, Default, Deserialize)]
-struct Orca {
+struct OrcaReport {
     #[serde(default)]
     cpu_utilization: Option<f64>,
     #[serde(default)]
@@ -71,11 +71,11 @@
 }
 
 impl LoadReport {
-    /// Reads a header's value.
+    /// Parses the value of a header. Ignores unknown names, and treats negative numbers, infinities and
+    /// NaN as missing.
     ///
     /// # Errors
-    /// When the value is too long or has neither form. Unknown names are ignored; negative
-    /// numbers, infinities and NaN count as missing.
+    /// Returns an error if the value is too long or malformed.
     pub fn from_header(text: &str) -> Result<Self, LoadReportError> {
         if text.len() > MAX_HEADER_BYTES {
             return Err(LoadReportError::TooLong);
@@ -84,13 +84,14 @@
             return parse_pairs(pairs).map(Self::from);
         }
         let json = text.strip_prefix(JSON_PREFIX).ok_or(LoadReportError::UnknownFormat)?;
-        let orca: Orca = serde_json::from_str(json).map_err(|_| LoadReportError::InvalidJson)?;
+        let orca: OrcaReport =
+            serde_json::from_str(json).map_err(|_| LoadReportError::InvalidJson)?;
         Ok(Self::from(orca))
     }
 }
 
-impl From<Orca> for LoadReport {
-    fn from(orca: Orca) -> Self {
+impl From<OrcaReport> for LoadReport {
+    fn from(orca: OrcaReport) -> Self {
         let application = orca.application_utilization.and_then(utilisation);
         let cpu = orca.cpu_utilization.and_then(utilisation);
         let in_flight = orca.named_metrics.get(IN_FLIGHT).copied().and_then(count);
@@ -99,17 +100,17 @@
     }
 }
 
-fn parse_pairs(pairs: &str) -> Result<Orca, LoadReportError> {
-    let mut orca = Orca::default();
+fn parse_pairs(pairs: &str) -> Result<OrcaReport, LoadReportError> {
+    let mut orca = OrcaReport::default();
     for pair in pairs.split(',') {
         let (name, number) = pair.split_once('=').ok_or(LoadReportError::InvalidPair)?;
         let number: f64 = number.trim().parse().map_err(|_| LoadReportError::InvalidPair)?;
-        set(&mut orca, name.trim(), number);
+        set_metric(&mut orca, name.trim(), number);
     }
     Ok(orca)
 }
 
-fn set(orca: &mut Orca, name: &str, number: f64) {
+fn set_metric(orca: &mut OrcaReport, name: &str, number: f64) {
     match name {
         "cpu_utilization" | "cpu" => orca.cpu_utilization = Some(number),
         "application_utilization" => orca.application_utilization = Some(number),
@@ -121,11 +122,11 @@
 }
 
 fn utilisation(number: f64) -> Option<Permille> {
-    let known = number.is_finite() && number >= 0.0;
-    known.then(|| Permille::new((number.min(MAX_UTILISATION) * 1000.0) as u32))
+    let is_valid = number.is_finite() && number >= 0.0;
+    is_valid.then(|| Permille::new((number.min(MAX_UTILISATION) * 1000.0) as u32))
 }
 
 fn count(number: f64) -> Option<u32> {
-    let known = number.is_finite() && number >= 0.0;
-    known.then(|| number.min(MAX_IN_FLIGHT) as u32)
+    let is_valid = number.is_finite() && number >= 0.0;
+    is_valid.then(|| number.min(MAX_IN_FLIGHT) as u32)
 }
--- a/crates/measure/tests/budget.rs
+++ b/crates/measure/tests/budget.rs
@@ -1,5 +1,5 @@
-//! The fleet's probes and new connections keep the budget in every second, whatever happens to
-//! its processes.
+//! Tests that probes and new connections of the whole fleet stay within the budget in every second,
+//! under pauses, restarts and flapping target lists.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,36 +15,36 @@
 const SECOND_US: u64 = 1_000_000;
 const FRESH_FOR: Duration = Duration::from_millis(500);
 
-/// What happens to one process of the fleet.
+/// Event in the simulated fleet.
 #[derive(Debug, Clone)]
 enum Event {
-    /// Time passes and processes that aren't paused do what is due.
+    /// Time passes, and running processes send what is due.
     Pass {
         wait_ms: u8,
     },
-    /// The process stops between deciding and sending, and goes on later.
+    /// The process is paused between acquiring a permit and sending.
     Pause {
         process: u8,
     },
     Resume {
         process: u8,
     },
-    /// The process is killed and started again without memory.
+    /// The process is killed and restarted without its state.
     Restart {
         process: u8,
     },
     RestartAll,
-    /// The process sees a list of targets without the one probed, then with it.
+    /// The process receives a list without the target, then one with it.
     Flap {
         process: u8,
     },
-    /// The target answers a request of this process with a load report.
-    Answered {
+    /// The target answers a request of the process with a load report.
+    AnswerWithReport {
         process: u8,
     },
     /// The target answers a request of every process without a load report.
-    AnsweredAll,
-    /// The target stops, and finds what it was sent in its buffers when it goes on.
+    AnswerToAll,
+    /// The target is paused, and receives what was sent to it in the meantime when it is resumed.
     TargetPause,
     TargetResume,
 }
@@ -59,10 +59,10 @@
             12 => Self::Restart { process },
             13 => Self::RestartAll,
             14 => Self::Flap { process },
-            15 => Self::Answered { process },
+            15 => Self::AnswerWithReport { process },
             16 => Self::TargetPause,
             17 => Self::TargetResume,
-            _ => Self::AnsweredAll,
+            _ => Self::AnswerToAll,
         }
     }
 }
@@ -90,47 +90,47 @@
     MeasuredTarget { id: TargetId::new("mill-1").expect("a valid name"), slots }
 }
 
-/// Something that asks for leave before it loads the target.
-trait Spender {
+/// A limiter under test, which issues permits for putting load on the target.
+trait Limiter {
     type Permit;
     fn start(fleet: &Fleet, share: FleetShare, now: Mono) -> Self;
     fn set_targets(&mut self, targets: &[MeasuredTarget], now: Mono);
-    fn take(&mut self, target: &TargetId, now: Mono) -> Option<Self::Permit>;
-    fn finished(&mut self, permit: Self::Permit, answered: bool, now: Mono);
-    fn answered(&mut self, target: &TargetId, with_report: bool, now: Mono);
+    fn try_acquire(&mut self, target: &TargetId, now: Mono) -> Option<Self::Permit>;
+    fn release(&mut self, permit: Self::Permit, is_answered: bool, now: Mono);
+    fn record_answer(&mut self, target: &TargetId, has_report: bool, now: Mono);
 }
 
-impl Spender for ProbeScheduler {
+impl Limiter for ProbeScheduler {
     type Permit = ProbePermit;
 
     fn start(fleet: &Fleet, share: FleetShare, now: Mono) -> Self {
-        let share_of_time = Permille::new(fleet.budget_permille);
+        let time_share = Permille::new(fleet.budget_permille);
         let probe_cost = Duration::from_micros(fleet.cost_us);
-        let mut plan =
-            Self::new(ProbeBudget { share: share_of_time, probe_cost }, share, FRESH_FOR);
-        plan.set_targets(&[target(fleet.slots)], now);
-        plan
+        let mut scheduler =
+            Self::new(ProbeBudget { share: time_share, probe_cost }, share, FRESH_FOR);
+        scheduler.set_targets(&[target(fleet.slots)], now);
+        scheduler
     }
 
     fn set_targets(&mut self, targets: &[MeasuredTarget], now: Mono) {
         self.set_targets(targets, now);
     }
 
-    fn take(&mut self, target: &TargetId, now: Mono) -> Option<ProbePermit> {
+    fn try_acquire(&mut self, target: &TargetId, now: Mono) -> Option<ProbePermit> {
         self.try_acquire(target, now)
     }
 
-    fn finished(&mut self, permit: ProbePermit, answered: bool, now: Mono) {
-        let end = if answered { ProbeOutcome::Settled } else { ProbeOutcome::Unanswered };
-        self.release(permit, end, now);
+    fn release(&mut self, permit: ProbePermit, is_answered: bool, now: Mono) {
+        let outcome = if is_answered { ProbeOutcome::Settled } else { ProbeOutcome::Unanswered };
+        self.release(permit, outcome, now);
     }
 
-    fn answered(&mut self, target: &TargetId, with_report: bool, now: Mono) {
-        self.record_answer(target, with_report, now);
+    fn record_answer(&mut self, target: &TargetId, has_report: bool, now: Mono) {
+        self.record_answer(target, has_report, now);
     }
 }
 
-impl Spender for ConnectionBudget {
+impl Limiter for ConnectionBudget {
     type Permit = ConnectionPermit;
 
     fn start(fleet: &Fleet, share: FleetShare, now: Mono) -> Self {
@@ -144,42 +144,42 @@
         self.set_targets(&ids, now);
     }
 
-    fn take(&mut self, target: &TargetId, now: Mono) -> Option<ConnectionPermit> {
+    fn try_acquire(&mut self, target: &TargetId, now: Mono) -> Option<ConnectionPermit> {
         self.try_acquire(target, now).ok()
     }
 
-    fn finished(&mut self, permit: ConnectionPermit, _answered: bool, now: Mono) {
+    fn release(&mut self, permit: ConnectionPermit, _is_answered: bool, now: Mono) {
         self.release(permit, now);
     }
 
-    fn answered(&mut self, _target: &TargetId, _with_report: bool, _now: Mono) {}
+    fn record_answer(&mut self, _target: &TargetId, _has_report: bool, _now: Mono) {}
 }
 
-/// As many connections a second as the fleet's budget of time allows.
+/// Returns the limit on new connections that corresponds to the fleet's time budget.
 fn limits(fleet: &Fleet) -> ConnectionLimits {
-    let a_second = u32::try_from(budget_us(fleet) / fleet.cost_us).expect("a small number");
-    ConnectionLimits { new_connections: PerSecond::new(a_second) }
+    let per_second = u32::try_from(budget_us(fleet) / fleet.cost_us).expect("a small number");
+    ConnectionLimits { new_connections: PerSecond::new(per_second) }
 }
 
-struct Process<S: Spender> {
-    spender: S,
-    paused: bool,
-    /// Taken before the pause, sent when it ends.
-    held: Option<S::Permit>,
+struct Process<S: Limiter> {
+    limiter: S,
+    is_paused: bool,
+    /// Acquired before a pause, and used when it ends.
+    permit: Option<S::Permit>,
 }
 
-/// Plays the events and returns the times at which the target was loaded.
-fn play<S: Spender>(fleet: &Fleet, events: &[Event]) -> Vec<u64> {
+/// Simulates the events. Returns the times at which the target received probes or connections.
+fn simulate<S: Limiter>(fleet: &Fleet, events: &[Event]) -> Vec<u64> {
     let id = target(fleet.slots).id;
     let mut now = Mono::from_millis(1_000_000);
     let start = |index: u32, now: Mono| {
         let share = FleetShare::new(index, fleet.count).expect("an index below the count");
-        Process { spender: S::start(fleet, share, now), paused: false, held: None }
+        Process { limiter: S::start(fleet, share, now), is_paused: false, permit: None }
     };
     let mut processes: BTreeMap<u32, Process<S>> =
         (0..fleet.count).map(|index| (index, start(index, now))).collect();
     let mut sent_at_us = Vec::new();
-    let mut target_paused = false;
+    let mut is_target_paused = false;
     let mut buffered = 0;
     for event in events {
         match *event {
@@ -187,12 +187,13 @@
             Event::Pause { process } => {
                 let process = processes.get_mut(&(u32::from(process) % fleet.count));
                 let process = process.expect("a process of the fleet");
-                process.paused = true;
-                process.held = process.held.take().or_else(|| process.spender.take(&id, now));
+                process.is_paused = true;
+                process.permit =
+                    process.permit.take().or_else(|| process.limiter.try_acquire(&id, now));
             }
             Event::Resume { process } => {
                 let process = processes.get_mut(&(u32::from(process) % fleet.count));
-                process.expect("a process of the fleet").paused = false;
+                process.expect("a process of the fleet").is_paused = false;
             }
             Event::Restart { process } => {
                 let index = u32::from(process) % fleet.count;
@@ -204,42 +205,42 @@
             Event::Flap { process } => {
                 let process = processes.get_mut(&(u32::from(process) % fleet.count));
                 let process = process.expect("a process of the fleet");
-                process.spender.set_targets(&[], now);
-                process.spender.set_targets(&[target(fleet.slots)], now);
+                process.limiter.set_targets(&[], now);
+                process.limiter.set_targets(&[target(fleet.slots)], now);
             }
-            Event::TargetPause => target_paused = true,
+            Event::TargetPause => is_target_paused = true,
             Event::TargetResume => {
-                target_paused = false;
+                is_target_paused = false;
                 sent_at_us.extend(std::iter::repeat_n(now.as_micros(), buffered));
                 buffered = 0;
             }
-            Event::Answered { .. } | Event::AnsweredAll if target_paused => {}
-            Event::AnsweredAll => {
+            Event::AnswerWithReport { .. } | Event::AnswerToAll if is_target_paused => {}
+            Event::AnswerToAll => {
                 processes
                     .values_mut()
-                    .for_each(|process| process.spender.answered(&id, false, now));
+                    .for_each(|process| process.limiter.record_answer(&id, false, now));
             }
-            Event::Answered { process } => {
+            Event::AnswerWithReport { process } => {
                 let process = processes.get_mut(&(u32::from(process) % fleet.count));
-                process.expect("a process of the fleet").spender.answered(&id, true, now);
+                process.expect("a process of the fleet").limiter.record_answer(&id, true, now);
             }
         }
-        for process in processes.values_mut().filter(|process| !process.paused) {
-            let permit = process.held.take().or_else(|| process.spender.take(&id, now));
+        for process in processes.values_mut().filter(|process| !process.is_paused) {
+            let permit = process.permit.take().or_else(|| process.limiter.try_acquire(&id, now));
             let Some(permit) = permit else { continue };
-            if target_paused {
+            if is_target_paused {
                 buffered += 1;
             } else {
                 sent_at_us.push(now.as_micros());
             }
-            process.spender.finished(permit, !target_paused, now);
+            process.limiter.release(permit, !is_target_paused, now);
         }
     }
     sent_at_us
 }
 
-/// The most events in any second.
-fn most_in_a_second(sent_at_us: &[u64]) -> u64 {
+/// Returns the maximum number of sends in any second.
+fn max_per_second(sent_at_us: &[u64]) -> u64 {
     let within =
         |from: u64| sent_at_us.iter().filter(move |at| (from..from + SECOND_US).contains(at));
     sent_at_us.iter().map(|from| within(*from).count() as u64).max().unwrap_or(0)
@@ -253,63 +254,63 @@
     QuickCheck::new().rng(Gen::from_size_and_seed(400, SEED)).tests(500)
 }
 
-/// Entries are paused while about to probe, restarted all at once, and see lists that flap; the
-/// target is paused and resumed. Each entry probes by its own clock and its own view. If a probe
-/// were counted when it was decided on, a new process probed at once, or a silent target were
-/// probed on, a slow morning answer would be the probes' fault.
+/// Guards against probes that overload a target when entries are paused just before sending, restart
+/// all at once or receive flapping lists, or when the target is paused. Causes would be spacing that is
+/// counted from the decision instead of the end of a probe, a new process that probes immediately, and
+/// probes of a target that does not answer.
 #[test]
-fn probes_keep_the_budget_in_every_second() {
+fn probes_stay_within_the_budget_in_every_second() {
     fn property(fleet: Fleet, events: Vec<Event>) -> bool {
-        let one_probe_fits = budget_us(&fleet) >= fleet.cost_us;
-        let most = most_in_a_second(&play::<ProbeScheduler>(&fleet, &events));
-        if one_probe_fits { most * fleet.cost_us <= budget_us(&fleet) } else { most <= 1 }
+        let fits_one_probe = budget_us(&fleet) >= fleet.cost_us;
+        let most = max_per_second(&simulate::<ProbeScheduler>(&fleet, &events));
+        if fits_one_probe { most * fleet.cost_us <= budget_us(&fleet) } else { most <= 1 }
     }
     checker().quickcheck(property as fn(Fleet, Vec<Event>) -> bool);
 }
 
-/// All entries restart at once and reconnect. Each new connection takes a millisecond of a target
-/// with two slots; unspaced, the reconnects alone would hold up the orders. Not covered: a target
-/// that is paused itself, as its system accepts connections for it.
+/// Guards against delayed requests when all entries restart and reconnect at once: each new connection
+/// takes a millisecond of a target with two slots. Does not cover a paused target, because the target's
+/// operating system accepts connections for it.
 #[test]
-fn new_connections_keep_the_budget_in_every_second() {
+fn new_connections_stay_within_the_budget_in_every_second() {
     fn property(fleet: Fleet, events: Vec<Event>) -> bool {
         let mut events = events;
         events.retain(|event| !matches!(event, Event::TargetPause));
-        let most = most_in_a_second(&play::<ConnectionBudget>(&fleet, &events));
+        let most = max_per_second(&simulate::<ConnectionBudget>(&fleet, &events));
         let budget = limits(&fleet).new_connections.value();
         most <= u64::from(budget.max(fleet.count))
     }
     checker().quickcheck(property as fn(Fleet, Vec<Event>) -> bool);
 }
 
-/// The users' sizes: 14 entries, 2 slots, 6 ms a probe, one part in a hundred of a target's time.
+/// Covers a typical fleet: 14 entries, 2 slots, 6 ms per probe, and 1% of a target's time for probes.
 #[test]
-fn the_fleet_probes_each_target_three_times_a_second_at_today_s_size() {
+fn fleet_of_14_entries_probes_each_target_three_times_per_second() {
     let fleet = Fleet { count: 14, slots: 2, budget_permille: 10, cost_us: 6000 };
-    let answers = (0..14).map(|process| Event::Answered { process });
+    let answers = (0..14).map(|process| Event::AnswerWithReport { process });
     let passes = std::iter::repeat_n(Event::Pass { wait_ms: 10 }, 1000);
     let first = [Event::Pass { wait_ms: 1 }];
     let events: Vec<Event> = first.into_iter().chain(answers).chain(passes).collect();
-    let sent = play::<ProbeScheduler>(&fleet, &events);
-    assert_eq!(3, most_in_a_second(&sent));
+    let sent = simulate::<ProbeScheduler>(&fleet, &events);
+    assert_eq!(3, max_per_second(&sent));
     assert_eq!(27, sent.len(), "three shares, each nine times in ten seconds");
 }
 
 #[test]
-fn a_target_that_reports_with_its_answers_is_not_probed() {
+fn target_with_recent_load_report_is_not_probed() {
     let share = FleetShare::new(0, 1).expect("an index below the count");
-    let mut plan = ProbeScheduler::new(ProbeBudget::default(), share, FRESH_FOR);
+    let mut scheduler = ProbeScheduler::new(ProbeBudget::default(), share, FRESH_FOR);
     let mill = target(2);
-    plan.set_targets(std::slice::from_ref(&mill), Mono::ZERO);
+    scheduler.set_targets(std::slice::from_ref(&mill), Mono::ZERO);
     let later = Mono::from_millis(10_000);
-    plan.record_answer(&mill.id, true, later);
-    assert!(plan.due(later).is_empty());
-    assert_eq!(Some(later.plus(FRESH_FOR)), plan.next_due());
-    assert_eq!(vec![mill.id], plan.due(later.plus(FRESH_FOR)));
+    scheduler.record_answer(&mill.id, true, later);
+    assert!(scheduler.due(later).is_empty());
+    assert_eq!(Some(later.plus(FRESH_FOR)), scheduler.next_due());
+    assert_eq!(vec![mill.id], scheduler.due(later.plus(FRESH_FOR)));
 }
 
 #[test]
-fn connections_are_shared_out_by_the_fleet_s_size() {
+fn open_connections_are_divided_among_all_shares() {
     let share = FleetShare::new(3, 14).expect("an index below the count");
     let budget = ConnectionBudget::new(ConnectionLimits::default(), share);
     assert_eq!(14, budget.open_max(200));
--- a/crates/measure/tests/load_report.rs
+++ b/crates/measure/tests/load_report.rs
@@ -1,4 +1,4 @@
-//! Load reports are read in both forms, and hostile ones do no harm.
+//! Tests of parsing load reports, including malformed ones.
 
 use quickcheck::{Gen, QuickCheck};
 use shallotfork_measure::{LoadReport, LoadReportError};
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn both_forms_say_the_same() {
+fn text_and_json_forms_are_equivalent() {
     let text = "TEXT cpu_utilization=0.35, mem_utilization=0.9,named_metrics.in_flight=3";
     let json =
         r#"JSON {"cpu_utilization":0.35,"mem_utilization":0.9,"named_metrics":{"in_flight":3}}"#;
@@ -24,32 +24,33 @@
 }
 
 #[test]
-fn use_of_the_application_goes_before_use_of_the_processor() {
+fn application_utilization_takes_precedence_over_cpu_utilization() {
     let text = "TEXT cpu_utilization=0.1,application_utilization=1.5,named_metrics.in_flight=4";
     assert_eq!(Ok(report(1500, 4)), LoadReport::from_header(text));
 }
 
 #[test]
-fn a_target_says_that_it_is_leaving() {
-    let leaving = LoadReport { draining: true, ..LoadReport::default() };
+fn draining_metric_is_reported() {
+    let draining = LoadReport { draining: true, ..LoadReport::default() };
     let text = "TEXT named_metrics.draining=1.0";
     let json = r#"JSON {"named_metrics":{"draining":1}}"#;
-    assert_eq!(Ok(leaving), LoadReport::from_header(text));
-    assert_eq!(Ok(leaving), LoadReport::from_header(json));
-    let staying = LoadReport::from_header("TEXT named_metrics.draining=0");
-    assert_eq!(Ok(LoadReport::default()), staying);
+    assert_eq!(Ok(draining), LoadReport::from_header(text));
+    assert_eq!(Ok(draining), LoadReport::from_header(json));
+    let serving = LoadReport::from_header("TEXT named_metrics.draining=0");
+    assert_eq!(Ok(LoadReport::default()), serving);
 }
 
 #[test]
-fn impossible_numbers_count_as_missing_or_are_cut() {
+fn out_of_range_numbers_are_ignored_or_capped() {
     let missing = LoadReport::from_header("TEXT cpu_utilization=-1,named_metrics.in_flight=NaN");
     assert_eq!(Ok(LoadReport::default()), missing);
-    let cut = LoadReport::from_header("TEXT cpu_utilization=1e300,named_metrics.in_flight=1e300");
-    assert_eq!(Ok(report(10_000, 1_000_000)), cut);
+    let capped =
+        LoadReport::from_header("TEXT cpu_utilization=1e300,named_metrics.in_flight=1e300");
+    assert_eq!(Ok(report(10_000, 1_000_000)), capped);
 }
 
 #[test]
-fn other_text_is_refused() {
+fn malformed_headers_are_rejected() {
     let long = format!("TEXT {}", "a=1,".repeat(2000));
     assert_eq!(Err(LoadReportError::TooLong), LoadReport::from_header(&long));
     assert_eq!(Err(LoadReportError::UnknownFormat), LoadReport::from_header("BIN AAAA"));
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn no_text_panics() {
+fn arbitrary_text_does_not_panic() {
     fn property(text: String) -> bool {
         for prefix in ["", "TEXT ", "JSON ", "TEXT cpu_utilization=", "JSON {\"named_metrics\":"] {
             let _ = LoadReport::from_header(&format!("{prefix}{text}"));
--- a/crates/measure/tests/rate_limits.rs
+++ b/crates/measure/tests/rate_limits.rs
@@ -51,7 +51,7 @@
 
 /// Guards against processes that disagree on a limit, or that use an outdated one.
 #[test]
-fn after_an_exchange_all_processes_use_the_latest_answer() {
+fn all_processes_use_the_latest_answer_after_an_exchange() {
     fn property(answers: Vec<Answer>) -> bool {
         let mut processes: Vec<RateLimits> = (0..PROCESSES).map(|_| RateLimits::new()).collect();
         let mut now_ms = 0;
@@ -68,7 +68,7 @@
 
 /// Guards against a delayed report that restores a limit removed by the target.
 #[test]
-fn a_report_from_before_the_last_answer_changes_nothing() {
+fn report_older_than_the_last_answer_is_ignored() {
     let (mut one, mut other) = (RateLimits::new(), RateLimits::new());
     one.record_answer(&target(), Some(rate(1_000)), at(0));
     let delayed = one.reports(at(50));
@@ -81,7 +81,7 @@
 /// Guards against a limit that never expires when no more requests are sent to the target, and
 /// against one that expires while answers still advertise it.
 #[test]
-fn a_limit_expires_without_answers_and_is_retained_while_it_is_refreshed() {
+fn limit_expires_without_answers_and_is_retained_while_refreshed() {
     let (mut one, mut other) = (RateLimits::new(), RateLimits::new());
     one.record_answer(&target(), Some(rate(1_000)), at(0));
     other.merge(&one.reports(at(10))[0], at(10));
