--- a/crates/evacuation/src/evacuations.rs
+++ b/crates/evacuation/src/evacuations.rs
@@ -4,8 +4,8 @@
 
 use shallotfork_types::{FailureDomain, Mono, Revision};
 
-/// Maximum number of ended evacuations whose revisions are retained, so that outdated changes do not
-/// restore them.
+/// Maximum number of ended evacuations whose revisions are retained, so that outdated changes do
+/// not restore them.
 const ENDED_RECORDS_MAX: usize = 1024;
 
 /// Published state of a failure domain's evacuation.
@@ -59,9 +59,9 @@
 
 /// The evacuations in force.
 ///
-/// Ignores a change if its revision is below the latest known one of its failure domain or below that
-/// of the latest full read. Full reads may be stale and may overlap with the watch, and must not revert
-/// an evacuation to an earlier state.
+/// Ignores a change if its revision is below the latest known one of its failure domain or below
+/// that of the latest full read. Full reads may be stale and may overlap with the watch, and must
+/// not revert an evacuation to an earlier state.
 #[derive(Debug, Default)]
 pub struct Evacuations {
     records: BTreeMap<FailureDomain, Record>,
@@ -82,8 +82,8 @@
         events
     }
 
-    /// Applies a full read as of `revision`. Ends each evacuation that the read does not contain, unless
-    /// it was published after `revision`.
+    /// Applies a full read as of `revision`. Ends each evacuation that the read does not contain,
+    /// unless it was published after `revision`.
     pub fn replace(
         &mut self,
         published: Vec<EvacuationChange>,
--- a/crates/evacuation/tests/evacuations.rs
+++ b/crates/evacuation/tests/evacuations.rs
@@ -45,8 +45,8 @@
     assert!(!evacuations.contains(&domain("hall")));
 }
 
-/// Guards against an evacuation that never ends because its removal was in history that the platform
-/// no longer keeps.
+/// Guards against an evacuation that never ends because its removal was in history that the
+/// platform no longer keeps.
 #[test]
 fn full_read_without_the_item_ends_an_evacuation() {
     let mut evacuations = Evacuations::new();
@@ -73,7 +73,8 @@
     assert_eq!(names(&evacuations), evacuated(&["barn", "hall"]));
 }
 
-/// Guards against an evacuation that ends because its item was overwritten with undecodable content.
+/// Guards against an evacuation that ends because its item was overwritten with undecodable
+/// content.
 #[test]
 fn undecodable_item_does_not_change_an_evacuation() {
     let unreadable = |revision| EvacuationChange {
@@ -88,15 +89,16 @@
     assert!(evacuations.contains(&domain("hall")));
 }
 
-/// Guards against reverting to an older state of a failure domain when delayed, repeated and partial
-/// reads arrive in any order.
+/// Guards against reverting to an older state of a failure domain when delayed, repeated and
+/// partial reads arrive in any order.
 #[test]
 fn state_in_force_never_reverts() {
     fn property(reads: Vec<(u8, bool, bool)>) -> bool {
         let mut evacuations = Evacuations::new();
         let mut newest_revision = None;
         for (number, is_full, is_repeated) in reads {
-            // The operator's requests alternate: odd revisions evacuate, even ones end the evacuation.
+            // The operator's requests alternate: odd revisions evacuate, even ones end the
+            // evacuation.
             let revision = u64::from(number) + 1;
             let change_read = change("hall", revision, revision % 2 == 1);
             let read_revision = Revision::new(revision);
--- a/crates/measure/src/connection_budget.rs
+++ b/crates/measure/src/connection_budget.rs
@@ -16,8 +16,8 @@
 }
 
 impl Default for ConnectionLimits {
-    /// Allows 144 per second, which take about 7% of the time of a target with two slots if all entries
-    /// reconnect at once.
+    /// Allows 144 per second, which take about 7% of the time of a target with two slots if all
+    /// entries reconnect at once.
     fn default() -> Self {
         Self { new_connections: PerSecond::new(144) }
     }
@@ -39,8 +39,8 @@
 /// Spaces new connections and limits open ones according to this process's fixed share.
 ///
 /// The fleet-wide limit holds for the same reasons as that of probes (see
-/// [`ProbeScheduler`](crate::ProbeScheduler)): it does not depend on a view of the fleet, a new process
-/// waits for one spacing, and the spacing is counted from the end of a connection attempt.
+/// [`ProbeScheduler`](crate::ProbeScheduler)): it does not depend on a view of the fleet, a new
+/// process waits for one spacing, and the spacing is counted from the end of a connection attempt.
 #[derive(Debug)]
 pub struct ConnectionBudget {
     limits: ConnectionLimits,
@@ -61,7 +61,8 @@
         self.change_targets(&gone, targets, now);
     }
 
-    /// Updates the list of targets: `gone` are removed, and those of `present` that are unknown are added.
+    /// Updates the list of targets: `gone` are removed, and those of `present` that are unknown are
+    /// added.
     pub fn change_targets(&mut self, gone: &[TargetId], present: &[TargetId], now: Mono) {
         for target in gone {
             self.targets.remove(target);
@@ -76,8 +77,8 @@
     /// Returns how many open connections this process may hold to a target that accepts
     /// `connections_max`.
     ///
-    /// The minimum is one, because processes of a fleet larger than the limit could not reach the target
-    /// otherwise.
+    /// The minimum is one, because processes of a fleet larger than the limit could not reach the
+    /// target otherwise.
     pub fn open_max(&self, connections_max: u32) -> u32 {
         (connections_max / self.share.count()).max(1)
     }
@@ -85,8 +86,8 @@
     /// Returns a permit to open a connection now.
     ///
     /// # Errors
-    /// Returns the earliest time to try again; `None` if the target is unknown or another connection
-    /// attempt is in progress, whose end must be awaited.
+    /// Returns the earliest time to try again; `None` if the target is unknown or another
+    /// connection attempt is in progress, whose end must be awaited.
     pub fn try_acquire(
         &mut self,
         target: &TargetId,
@@ -113,8 +114,8 @@
 
     /// Returns the interval between two new connections of this process to a target.
     ///
-    /// If the budget allows less than one connection per second and share, it is kept over the spacing
-    /// instead of over a second, so that every process can still reach the target.
+    /// If the budget allows less than one connection per second and share, it is kept over the
+    /// spacing instead of over a second, so that every process can still reach the target.
     pub fn spacing(&self) -> Duration {
         let fleet_per_second = f64::from(self.limits.new_connections.value());
         let own_per_second = fleet_per_second / f64::from(self.share.count());
--- a/crates/measure/src/fleet_share.rs
+++ b/crates/measure/src/fleet_share.rs
@@ -5,8 +5,8 @@
 
 /// Share of one process in all fleet-wide budgets, from its settings.
 ///
-/// `count` is the maximum number of processes that run concurrently, including replacements. It must be
-/// the same for all processes, and no two live processes may have the same `index`.
+/// `count` is the maximum number of processes that run concurrently, including replacements. It
+/// must be the same for all processes, and no two live processes may have the same `index`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetShare {
     index: u32,
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -1,10 +1,10 @@
 //! Budgets for probes and connections, load and rate limits reported by targets, and the scheduling
 //! delay of this process.
 //!
-//! This crate performs no I/O and reads no clock; callers pass in the current time. The budgets hold
-//! over the whole fleet in every window of one second, because each process uses only a share that is
-//! fixed in its settings. They do not depend on a view of the fleet, so processes whose views differ
-//! cannot exceed them.
+//! This crate performs no I/O and reads no clock; callers pass in the current time. The budgets
+//! hold over the whole fleet in every window of one second, because each process uses only a share
+//! that is fixed in its settings. They do not depend on a view of the fleet, so processes whose
+//! views differ cannot exceed them.
 
 mod connection_budget;
 mod fleet_share;
--- a/crates/measure/src/load_report.rs
+++ b/crates/measure/src/load_report.rs
@@ -26,7 +26,8 @@
 /// Load that a target reports with one answer; every part may be missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LoadReport {
-    /// Utilisation of the target's processor or of its application's capacity; above 1000 if overloaded.
+    /// Utilisation of the target's processor or of its application's capacity; above 1000 if
+    /// overloaded.
     pub utilisation: Option<Permille>,
     /// Number of requests that the target is running or has queued.
     pub in_flight: Option<u32>,
@@ -71,8 +72,8 @@
 }
 
 impl LoadReport {
-    /// Parses the value of a header. Ignores unknown names, and treats negative numbers, infinities and
-    /// NaN as missing.
+    /// Parses the value of a header. Ignores unknown names, and treats negative numbers, infinities
+    /// and NaN as missing.
     ///
     /// # Errors
     /// Returns an error if the value is too long or malformed.
--- a/crates/measure/src/probe_budget.rs
+++ b/crates/measure/src/probe_budget.rs
@@ -33,8 +33,8 @@
 }
 
 impl ProbeBudget {
-    /// Returns the target time, in microseconds, that probes of a target with `slots` slots may take per
-    /// second.
+    /// Returns the target time, in microseconds, that probes of a target with `slots` slots may
+    /// take per second.
     pub fn budget_us(&self, slots: u32) -> u64 {
         self.share.of(u64::from(slots) * SLOT_US_PER_SECOND)
     }
--- a/crates/measure/src/probe_scheduler.rs
+++ b/crates/measure/src/probe_scheduler.rs
@@ -7,8 +7,8 @@
 
 use crate::{FleetShare, MeasuredTarget, ProbeBudget};
 
-/// Window over which the budget is counted: one second, with a margin for clocks that run at different
-/// speeds.
+/// Window over which the budget is counted: one second, with a margin for clocks that run at
+/// different speeds.
 pub(crate) const BUDGET_WINDOW: Duration = Duration::from_millis(1050);
 
 /// Permit to send one probe immediately; return it with [`ProbeScheduler::release`].
@@ -30,7 +30,8 @@
 /// Outcome of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// The probe was answered, or no connection could be established: no work is left at the target.
+    /// The probe was answered, or no connection could be established: no work is left at the
+    /// target.
     Settled,
     /// The probe timed out; the target may still process it.
     Unanswered,
@@ -53,16 +54,17 @@
 /// Spaces the probes of this process so that those of the whole fleet stay within the budget in
 /// every second.
 ///
-/// - A process probes at the rate of its share, regardless of its view of the fleet. Neither a partition
-///   nor an outdated VM list affects the fleet's total rate.
-/// - A new process waits for one full spacing, because the process that it replaces may have sent a probe
-///   just before it ended.
-/// - A process may be paused between `try_acquire` and sending the first byte. The spacing is therefore
-///   counted from the end of the probe, when the target has received it. Probes that were missed during
-///   a pause are skipped.
-/// - A paused target may have buffered all probes sent to it in the meantime. A target that left a probe
-///   unanswered is therefore not probed again until it answers a request (`record_answer`). A new process
-///   does not know which probes of its predecessor are unanswered, so it waits for a first answer, too.
+/// - A process probes at the rate of its share, regardless of its view of the fleet. Neither a
+///   partition nor an outdated VM list affects the fleet's total rate.
+/// - A new process waits for one full spacing, because the process that it replaces may have sent a
+///   probe just before it ended.
+/// - A process may be paused between `try_acquire` and sending the first byte. The spacing is
+///   therefore counted from the end of the probe, when the target has received it. Probes that were
+///   missed during a pause are skipped.
+/// - A paused target may have buffered all probes sent to it in the meantime. A target that left a
+///   probe unanswered is therefore not probed again until it answers a request (`record_answer`). A
+///   new process does not know which probes of its predecessor are unanswered, so it waits for a
+///   first answer, too.
 ///
 /// Two live processes with the same share exceed the budget; settings must prevent that.
 #[derive(Debug)]
@@ -74,14 +76,14 @@
 }
 
 impl ProbeScheduler {
-    /// Creates a scheduler without targets. A target is not probed while its last load report is younger
-    /// than `fresh_for`.
+    /// Creates a scheduler without targets. A target is not probed while its last load report is
+    /// younger than `fresh_for`.
     pub fn new(budget: ProbeBudget, share: FleetShare, fresh_for: Duration) -> Self {
         Self { budget, share, fresh_for, targets: BTreeMap::new() }
     }
 
-    /// Sets the list of targets. New and changed ones are due one full spacing after their first answer,
-    /// so that a flapping list cannot shorten a spacing.
+    /// Sets the list of targets. New and changed ones are due one full spacing after their first
+    /// answer, so that a flapping list cannot shorten a spacing.
     pub fn set_targets(&mut self, targets: &[MeasuredTarget], now: Mono) {
         let gone: Vec<TargetId> = self
             .targets
@@ -92,8 +94,8 @@
         self.change_targets(&gone, targets, now);
     }
 
-    /// Updates the list of targets: `gone` are removed, and those of `present` that are new or changed
-    /// are scheduled. The running time does not depend on the number of other targets.
+    /// Updates the list of targets: `gone` are removed, and those of `present` that are new or
+    /// changed are scheduled. The running time does not depend on the number of other targets.
     pub fn change_targets(&mut self, gone: &[TargetId], present: &[MeasuredTarget], now: Mono) {
         for target in gone {
             self.targets.remove(target);
@@ -115,8 +117,8 @@
         }
     }
 
-    /// Records that the target answered a request at `at`. An answer with a load report postpones the
-    /// next probe.
+    /// Records that the target answered a request at `at`. An answer with a load report postpones
+    /// the next probe.
     pub fn record_answer(&mut self, target: &TargetId, has_report: bool, at: Mono) {
         let Some(schedule) = self.targets.get_mut(target) else { return };
         if schedule.silent_since.is_some_and(|since| at > since) {
@@ -142,8 +144,8 @@
 
     /// Returns a permit to probe the target now, or `None` if it is not due.
     ///
-    /// To be called immediately before sending, because the process may have been paused since the call
-    /// of `due`, and another task may have sent a probe in the meantime.
+    /// To be called immediately before sending, because the process may have been paused since the
+    /// call of `due`, and another task may have sent a probe in the meantime.
     pub fn try_acquire(&mut self, target: &TargetId, now: Mono) -> Option<ProbePermit> {
         let schedule = self.targets.get(target)?;
         if !self.is_due(schedule, now) {
@@ -153,8 +155,8 @@
         Some(ProbePermit { target: target.clone() })
     }
 
-    /// Takes back the permit of a probe that has ended. The connection of a probe that timed out must have
-    /// been closed.
+    /// Takes back the permit of a probe that has ended. The connection of a probe that timed out
+    /// must have been closed.
     pub fn release(&mut self, permit: ProbePermit, outcome: ProbeOutcome, now: Mono) {
         if let Some(schedule) = self.targets.get_mut(&permit.target) {
             schedule.is_outstanding = false;
@@ -173,7 +175,8 @@
         schedule.next_at.max(stale_at)
     }
 
-    /// Returns the interval between two probes of this process, or `None` if its share allows no probes.
+    /// Returns the interval between two probes of this process, or `None` if its share allows no
+    /// probes.
     fn spacing(&self, target: &MeasuredTarget) -> Option<Duration> {
         let milli_per_second = self.budget.milli_probes_per_second(target.slots);
         let per_second = milli_per_second / 1000;
--- a/crates/measure/src/rate_limits.rs
+++ b/crates/measure/src/rate_limits.rs
@@ -104,8 +104,8 @@
         changed
     }
 
-    /// Returns the reports to send to peers: limits that have changed or been refreshed recently. If
-    /// there are too many for one message, each call starts at a different one.
+    /// Returns the reports to send to peers: limits that have changed or been refreshed recently.
+    /// If there are too many for one message, each call starts at a different one.
     pub fn reports(&self, now: Mono) -> Vec<RateLimitReport> {
         let is_due = |record: &Record| now.since(record.report_start) < REPORT_PERIOD;
         let due: Vec<_> = self.records.iter().filter(|(_, record)| is_due(record)).collect();
--- a/crates/measure/src/scheduling_delay.rs
+++ b/crates/measure/src/scheduling_delay.rs
@@ -11,8 +11,8 @@
 
 /// How long runnable work waits for the processor, as an exponentially smoothed average.
 ///
-/// A process that gets too little processor time cannot detect this otherwise: requests that it has not
-/// read yet are in none of its own queues, and each of its answers appears to be fast.
+/// A process that gets too little processor time cannot detect this otherwise: requests that it has
+/// not read yet are in none of its own queues, and each of its answers appears to be fast.
 #[derive(Debug, Default)]
 pub struct SchedulingDelay {
     smoothed: Duration,
--- a/crates/measure/tests/budget.rs
+++ b/crates/measure/tests/budget.rs
@@ -254,10 +254,10 @@
     QuickCheck::new().rng(Gen::from_size_and_seed(400, SEED)).tests(500)
 }
 
-/// Guards against probes that overload a target when entries are paused just before sending, restart
-/// all at once or receive flapping lists, or when the target is paused. Causes would be spacing that is
-/// counted from the decision instead of the end of a probe, a new process that probes immediately, and
-/// probes of a target that does not answer.
+/// Guards against probes that overload a target when entries are paused just before sending,
+/// restart all at once or receive flapping lists, or when the target is paused. Causes would be
+/// spacing that is counted from the decision instead of the end of a probe, a new process that
+/// probes immediately, and probes of a target that does not answer.
 #[test]
 fn probes_stay_within_the_budget_in_every_second() {
     fn property(fleet: Fleet, events: Vec<Event>) -> bool {
@@ -268,9 +268,9 @@
     checker().quickcheck(property as fn(Fleet, Vec<Event>) -> bool);
 }
 
-/// Guards against delayed requests when all entries restart and reconnect at once: each new connection
-/// takes a millisecond of a target with two slots. Does not cover a paused target, because the target's
-/// operating system accepts connections for it.
+/// Guards against delayed requests when all entries restart and reconnect at once: each new
+/// connection takes a millisecond of a target with two slots. Does not cover a paused target,
+/// because the target's operating system accepts connections for it.
 #[test]
 fn new_connections_stay_within_the_budget_in_every_second() {
     fn property(fleet: Fleet, events: Vec<Event>) -> bool {
@@ -283,7 +283,8 @@
     checker().quickcheck(property as fn(Fleet, Vec<Event>) -> bool);
 }
 
-/// Covers a typical fleet: 14 entries, 2 slots, 6 ms per probe, and 1% of a target's time for probes.
+/// Covers a typical fleet: 14 entries, 2 slots, 6 ms per probe, and 1% of a target's time for
+/// probes.
 #[test]
 fn fleet_of_14_entries_probes_each_target_three_times_per_second() {
     let fleet = Fleet { count: 14, slots: 2, budget_permille: 10, cost_us: 6000 };
--- a/crates/quarantine/src/config.rs
+++ b/crates/quarantine/src/config.rs
@@ -5,9 +5,11 @@
 /// Configuration of a [`Quarantine`](crate::Quarantine).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuarantineConfig {
-    /// Number of successive crashes, without an answer in between, at which a request is quarantined.
+    /// Number of successive crashes, without an answer in between, at which a request is
+    /// quarantined.
     pub crashes_max: u8,
-    /// Highest number of crashes at which a request may still be retried before its caller repeats it.
+    /// Highest number of crashes at which a request may still be retried before its caller repeats
+    /// it.
     pub retry_crashes_max: u8,
     /// How long a request that is not quarantined stays suspected after its last crash.
     pub suspect_for: Duration,
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -21,8 +21,8 @@
         /// Remaining time of the quarantine.
         remaining: Duration,
     },
-    /// The request is suspected and must not be sent until another run of it has ended or its caller
-    /// repeats it.
+    /// The request is suspected and must not be sent until another run of it has ended or its
+    /// caller repeats it.
     Deferred {
         /// Delay after which the caller may repeat the request.
         retry_after: Duration,
@@ -41,8 +41,8 @@
 /// Crash records of requests, by fingerprint.
 ///
 /// Prevents a request that crashes every target it runs on from taking down a whole service through
-/// its callers' retries. Other requests that were running on a crashed target are suspected as well,
-/// until they are answered.
+/// its callers' retries. Other requests that were running on a crashed target are suspected as
+/// well, until they are answered.
 #[derive(Debug)]
 pub struct Quarantine {
     config: QuarantineConfig,
@@ -97,7 +97,8 @@
     }
 
     /// Records that a target crashed while running a request that was sent to it at `sent_at`.
-    /// Returns the new crash count of the request, or `None` if this crash does not count against it.
+    /// Returns the new crash count of the request, or `None` if this crash does not count against
+    /// it.
     pub fn record_crash(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -116,7 +117,8 @@
         }
     }
 
-    /// Merges a report from another process. Returns whether it caused the request to be quarantined.
+    /// Merges a report from another process. Returns whether it caused the request to be
+    /// quarantined.
     pub fn merge(&mut self, report: &CrashReport, now: Mono) -> bool {
         self.evict_if_full(report.fingerprint, now);
         let record = self.records.entry(report.fingerprint).or_insert_with(|| Record::new(now));
@@ -170,8 +172,8 @@
         selected.into_iter().take(limit).map(|(key, record)| (*key, *record)).collect()
     }
 
-    /// Returns up to `quarantined_reports_max` quarantined requests, starting at a different one from
-    /// call to call, so that a peer receives all of them within several messages.
+    /// Returns up to `quarantined_reports_max` quarantined requests, starting at a different one
+    /// from call to call, so that a peer receives all of them within several messages.
     fn quarantined_subset(&self, now: Mono) -> BTreeMap<RequestFingerprint, Record> {
         let quarantined: Vec<(RequestFingerprint, Record)> = self
             .records
@@ -190,7 +192,8 @@
             .collect()
     }
 
-    /// Makes room for a new record by removing expired records, then the one with the fewest crashes.
+    /// Makes room for a new record by removing expired records, then the one with the fewest
+    /// crashes.
     fn evict_if_full(&mut self, fingerprint: RequestFingerprint, now: Mono) {
         if self.records.len() < self.config.records_max || self.records.contains_key(&fingerprint) {
             return;
--- a/crates/roster/src/lib.rs
+++ b/crates/roster/src/lib.rs
@@ -1,8 +1,8 @@
 //! Tracks which targets exist, from the records that the platform publishes for them.
 //!
-//! This crate performs no I/O and reads no clock; callers pass in the current time. Records may come from
-//! any writer, may expire during an outage of the platform, and may be seconds old when they are read. The
-//! [`Roster`] derives the targets that may be used from them.
+//! This crate performs no I/O and reads no clock; callers pass in the current time. Records may
+//! come from any writer, may expire during an outage of the platform, and may be seconds old when
+//! they are read. The [`Roster`] derives the targets that may be used from them.
 
 mod roster;
 mod roster_config;
--- a/crates/roster/src/roster.rs
+++ b/crates/roster/src/roster.rs
@@ -16,8 +16,8 @@
     Draining(TargetId),
     /// The target is gone, or its record can no longer be decoded.
     Left(TargetId),
-    /// The target's record is missing after an outage of the platform; the target is kept for a grace
-    /// period.
+    /// The target's record is missing after an outage of the platform; the target is kept for a
+    /// grace period.
     Lapsed(TargetId),
     /// The record of a lapsed target has been published again.
     Returned(TargetId),
@@ -28,22 +28,22 @@
 #[derive(Debug, Clone)]
 struct Member {
     revision: Revision,
-    /// `None` if the record was removed or is unreadable; the revision is retained, so that outdated
-    /// changes are ignored.
+    /// `None` if the record was removed or is unreadable; the revision is retained, so that
+    /// outdated changes are ignored.
     record: Option<TargetRecord>,
     /// Whether the record is missing and the target is kept for the grace period.
     is_lapsed: bool,
-    /// When the record or its removal was last received. Members without a record are dropped some time
-    /// after it.
+    /// When the record or its removal was last received. Members without a record are dropped some
+    /// time after it.
     last_seen_at: Mono,
 }
 
 /// Set of the targets that may be used, derived from published records.
 ///
 /// Ignores a record if its revision is below the latest known one of its target, because stale full
-/// reads may overlap with the watch. Normally a target is removed as soon as its record is missing. During
-/// an outage of the platform and shortly after, records expire although their targets are alive; removing
-/// these would leave a service without targets for seconds.
+/// reads may overlap with the watch. Normally a target is removed as soon as its record is missing.
+/// During an outage of the platform and shortly after, records expire although their targets are
+/// alive; removing these would leave a service without targets for seconds.
 #[derive(Debug)]
 pub struct Roster {
     config: RosterConfig,
@@ -76,7 +76,8 @@
         self.reconnected_at = Some(now);
     }
 
-    /// Returns a number that changes whenever the result of [`targets`](Self::targets) may have changed.
+    /// Returns a number that changes whenever the result of [`targets`](Self::targets) may have
+    /// changed.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -88,8 +89,8 @@
 
     /// Applies a full read. Records that it does not contain are missing as of `revision`.
     ///
-    /// The pages of a read are not a consistent snapshot. `revision` must be that of the first page, so
-    /// that a record that was written later does not count as missing.
+    /// The pages of a read are not a consistent snapshot. `revision` must be that of the first
+    /// page, so that a record that was written later does not count as missing.
     pub fn replace(
         &mut self,
         records: Vec<TargetChange>,
@@ -135,8 +136,8 @@
 
     /// Returns the targets that exist, including draining ones, sorted by ID.
     ///
-    /// The address of a target that has ended may be reused before the target's record is removed. If
-    /// several records have the same address, only the one published last is included.
+    /// The address of a target that has ended may be reused before the target's record is removed.
+    /// If several records have the same address, only the one published last is included.
     pub fn targets(&self) -> Vec<(&TargetId, &TargetRecord)> {
         let mut holders: BTreeMap<Endpoint, (Revision, &TargetId)> = BTreeMap::new();
         for (id, member) in &self.members {
@@ -217,8 +218,8 @@
         is_first.then_some(RosterChange::Lapsed(id))
     }
 
-    /// Increments the version if the targets may have changed. A change that only renews a record has an
-    /// effect only if its address is shared, because the latest revision holds the address.
+    /// Increments the version if the targets may have changed. A change that only renews a record
+    /// has an effect only if its address is shared, because the latest revision holds the address.
     fn update_version(&mut self, id: &TargetId, old: Option<&Member>) {
         let record = self.members.get(id).and_then(|member| member.record.as_ref());
         let old = old.and_then(|old| old.record.as_ref());
--- a/crates/roster/src/target_record.rs
+++ b/crates/roster/src/target_record.rs
@@ -38,8 +38,8 @@
     pub availability: Availability,
     /// Remaining time for which the target is cold, as of when the record was written.
     pub cold_for: Duration,
-    /// Start of the target in Unix milliseconds of its own wall clock, which distinguishes two runs with
-    /// the same ID. `None` if the record does not contain it.
+    /// Start of the target in Unix milliseconds of its own wall clock, which distinguishes two runs
+    /// with the same ID. `None` if the record does not contain it.
     pub started_at_ms: Option<u64>,
 }
 
--- a/crates/roster/tests/roster.rs
+++ b/crates/roster/tests/roster.rs
@@ -62,8 +62,8 @@
     assert_eq!(names(&roster), ["b"]);
 }
 
-/// Guards against a service without targets after an outage of the platform: the leases of all records
-/// expire within a five-second outage, although the targets are running.
+/// Guards against a service without targets after an outage of the platform: the leases of all
+/// records expire within a five-second outage, although the targets are running.
 #[test]
 fn targets_with_expired_records_are_kept_for_the_grace_period() {
     let mut roster = roster_with_two_targets();
@@ -80,8 +80,8 @@
     assert_eq!(names(&roster), ["a"]);
 }
 
-/// Guards against requests to a target that drained and ended during an outage of the platform, if it
-/// were kept for the grace period of two seconds.
+/// Guards against requests to a target that drained and ended during an outage of the platform, if
+/// it were kept for the grace period of two seconds.
 #[test]
 fn draining_target_gets_no_grace_period() {
     let mut roster = roster_with_two_targets();
@@ -121,8 +121,8 @@
     assert_eq!(names(&roster), ["b"]);
 }
 
-/// Guards against state of a target's previous run (connections, requests in flight) being applied to the
-/// new run after a crash and a restart with the same ID.
+/// Guards against state of a target's previous run (connections, requests in flight) being applied
+/// to the new run after a crash and a restart with the same ID.
 #[test]
 fn later_start_with_the_same_id_is_a_restart() {
     let mut roster = roster_with_two_targets();
@@ -131,8 +131,8 @@
     assert_eq!(changes, [RosterChange::Restarted(id("a"))]);
 }
 
-/// Guards against requests that are sent to the wrong target, and rejected by it, when the address of a
-/// lost target is reused before its record has expired.
+/// Guards against requests that are sent to the wrong target, and rejected by it, when the address
+/// of a lost target is reused before its record has expired.
 #[test]
 fn shared_address_belongs_to_the_latest_record() {
     let mut roster = roster_with_two_targets();
@@ -140,7 +140,8 @@
     assert_eq!(names(&roster), ["b", "new"]);
 }
 
-/// Guards against results that depend on the order in which changes arrive: the highest revision decides.
+/// Guards against results that depend on the order in which changes arrive: the highest revision
+/// decides.
 #[test]
 fn order_of_arrival_is_irrelevant_while_the_platform_is_connected() {
     fn property(mut changes: Vec<(u8, bool)>) -> bool {
@@ -161,8 +162,9 @@
     QuickCheck::new().tests(500).quickcheck(property as fn(Vec<(u8, bool)>) -> bool);
 }
 
-/// Guards against publishing all targets to the traffic threads at each renewal of a record. Targets renew
-/// their records every 1.5 s, so hundreds of records would cause hundreds of such updates per second.
+/// Guards against publishing all targets to the traffic threads at each renewal of a record.
+/// Targets renew their records every 1.5 s, so hundreds of records would cause hundreds of such
+/// updates per second.
 #[test]
 fn renewed_record_does_not_change_the_version() {
     let mut roster = roster_with_two_targets();
--- a/crates/routes/src/in_force.rs
+++ b/crates/routes/src/in_force.rs
@@ -1,46 +1,46 @@
-//! Which table is in force; it never goes back.
+//! The route table in force, which never reverts to an older version.
 
 use std::sync::Arc;
 
 use crate::table::{RouteTable, TableVersion};
 
-/// What became of an offered table.
+/// Outcome of offering a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It is in force now.
+    /// The table has come into force.
     Accepted,
-    /// It is in force already.
+    /// The table was in force already.
     AlreadyInForce,
-    /// A later one is in force.
+    /// A later table is in force.
     Older {
         /// The version in force.
         in_force: TableVersion,
     },
 }
 
-/// Holds the table in force.
+/// The route table in force.
 ///
-/// Tables reach a process by several ways: the platform's watch, full reads that may be seconds
-/// old, and peers. Without the guard a stale read would undo a change that callers have seen the
-/// effect of.
+/// A process receives tables from the platform's watch, from full reads that may be seconds old,
+/// and from peers. Older tables are ignored, because a stale read would otherwise undo a change
+/// whose effect callers have already seen.
 #[derive(Debug, Clone, Default)]
 pub struct TableInForce {
     table: Option<Arc<RouteTable>>,
 }
 
 impl TableInForce {
-    /// Before any table is known.
+    /// Creates a value without a table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a table unless it is older than the one in force.
+    /// Puts a table into force if it is later than the current one.
     pub fn offer(&mut self, table: RouteTable) -> OfferOutcome {
-        let Some(known) = &self.table else {
+        let Some(current) = &self.table else {
             self.table = Some(Arc::new(table));
             return OfferOutcome::Accepted;
         };
-        let in_force = known.version();
+        let in_force = current.version();
         if table.version() < in_force {
             return OfferOutcome::Older { in_force };
         }
@@ -51,7 +51,7 @@
         OfferOutcome::Accepted
     }
 
-    /// The table in force; `None` before the first.
+    /// Returns the table in force; `None` if no table has been received yet.
     pub fn table(&self) -> Option<&Arc<RouteTable>> {
         self.table.as_ref()
     }
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,8 +1,8 @@
-//! Published routes: which service may serve a request, and under which limits.
+//! Published routes: which services handle a request, and within which limits.
 //!
-//! Pure decisions: nothing here does I/O or reads a clock. A [`RouteTable`] is checked once, when
-//! it is built; [`TableInForce`] never goes back to an older one; [`Splitter`] divides the requests of
-//! a route among its services.
+//! This crate performs no I/O and reads no clock. A [`RouteTable`] is validated when it is created,
+//! [`TableInForce`] never reverts to an older one, and [`Splitter`] distributes the requests of a
+//! route among its services.
 
 mod in_force;
 mod route;
--- a/crates/routes/src/route.rs
+++ b/crates/routes/src/route.rs
@@ -1,4 +1,4 @@
-//! One route and its parts.
+//! Routes and their parts.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,18 +11,18 @@
 pub struct RouteName(String);
 
 impl RouteName {
-    /// Wraps a name.
+    /// Creates a name.
     ///
     /// # Errors
-    /// When the name is empty.
+    /// Returns an error if the name is empty.
     pub fn new(text: &str) -> Result<Self, ParseError> {
         if text.is_empty() {
-            return Err(ParseError::new("a name of a route", text));
+            return Err(ParseError::new("a route name", text));
         }
         Ok(Self(text.to_owned()))
     }
 
-    /// The name as text.
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -45,23 +45,23 @@
 /// Whether a request may run a second time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RepeatPolicy {
-    /// Running it again does no harm.
+    /// Running the request repeatedly is harmless.
     Idempotent,
-    /// It runs at most once for each attempt of its caller.
+    /// The request runs at most once each time its caller sends it.
     AtMostOnce,
 }
 
-/// How urgent the requests of a route are; 0 is the most urgent.
+/// Priority of the requests of a route; 0 is the highest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Priority(u32);
 
 impl Priority {
-    /// Wraps a published rank.
+    /// Creates a priority from its published rank.
     pub fn new(rank: u32) -> Self {
         Self(rank)
     }
 
-    /// The rank.
+    /// Returns the rank.
     pub fn rank(self) -> u32 {
         self.0
     }
@@ -73,34 +73,34 @@
     }
 }
 
-/// A service of a route, with its part of the requests.
+/// A service of a route, with its weight.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightedService {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its part, in relation to the sum of the route's weights.
+    /// Share of the requests, relative to the sum of the route's weights.
     pub weight: u32,
 }
 
-/// Requests of one host and path prefix, and how they are served.
+/// Handling of the requests with one host and path prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// Name within the table.
+    /// Name of the route, unique within the table.
     pub name: RouteName,
-    /// Host that the request names, in lower case and without a port.
+    /// Requested host, in lower case and without a port.
     pub host: String,
-    /// Beginning of the path; starts and ends with a slash.
+    /// Path prefix, which starts and ends with a slash.
     pub prefix: String,
-    /// Whether a request may run twice.
+    /// Whether a request may run more than once.
     pub repeat_policy: RepeatPolicy,
-    /// Longest time from a request's arrival to its final answer.
+    /// Maximum time from the arrival of a request to its final answer.
     pub timeout: Duration,
-    /// Time within which an answer is worth most to its caller.
+    /// Time within which callers expect an answer.
     pub latency_objective: Duration,
-    /// Rank among requests that compete for the same targets.
+    /// Priority among requests that compete for the same targets.
     pub priority: Priority,
-    /// Targets that one request may be sent to at most.
+    /// Maximum number of targets that one request may be sent to.
     pub attempts_max: u32,
-    /// Where its requests go; never empty.
+    /// Services that handle the requests; never empty.
     pub services: Vec<WeightedService>,
 }
--- a/crates/routes/src/splitter.rs
+++ b/crates/routes/src/splitter.rs
@@ -1,4 +1,4 @@
-//! Divides the requests of a route among its services.
+//! Distribution of the requests of a route among its services.
 
 use std::collections::BTreeMap;
 
@@ -6,53 +6,56 @@
 
 use crate::route::{Route, RouteName, WeightedService};
 
-/// Smooth weighted round robin: each service's share is right to within one request at any time.
+/// Distributes requests by smooth weighted round robin. At any time, the number of requests of a
+/// service deviates by at most one from its share.
 ///
-/// A random choice of the same weights is off by a tenth over a few hundred requests often enough
-/// for an operator to see the wrong share.
+/// With a random choice, shares deviate by 10% over a few hundred requests often enough for
+/// operators to see wrong shares.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    routes: BTreeMap<RouteName, Turns>,
+    routes: BTreeMap<RouteName, RoundRobin>,
 }
 
 #[derive(Debug)]
-struct Turns {
+struct RoundRobin {
     services: Vec<WeightedService>,
     credit: Vec<i64>,
 }
 
 impl Splitter {
-    /// No route has been used yet.
+    /// Creates a splitter without any state of routes.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The service for the next request of `route`.
+    /// Returns the service for the next request of `route`.
     pub fn next(&mut self, route: &Route) -> ServiceName {
         if let [only] = route.services.as_slice() {
             return only.service.clone();
         }
-        let turns =
-            self.routes.entry(route.name.clone()).or_insert_with(|| Turns::new(&route.services));
-        if turns.services != route.services {
-            *turns = Turns::new(&route.services);
+        let round_robin = self
+            .routes
+            .entry(route.name.clone())
+            .or_insert_with(|| RoundRobin::new(&route.services));
+        if round_robin.services != route.services {
+            *round_robin = RoundRobin::new(&route.services);
         }
-        turns.next()
+        round_robin.next()
     }
 }
 
-impl Turns {
+impl RoundRobin {
     fn new(services: &[WeightedService]) -> Self {
         Self { services: services.to_vec(), credit: vec![0; services.len()] }
     }
 
     fn next(&mut self) -> ServiceName {
-        let total: i64 = self.services.iter().map(|part| i64::from(part.weight)).sum();
-        for (credit, part) in self.credit.iter_mut().zip(&self.services) {
-            *credit += i64::from(part.weight);
+        let total: i64 = self.services.iter().map(|candidate| i64::from(candidate.weight)).sum();
+        for (credit, candidate) in self.credit.iter_mut().zip(&self.services) {
+            *credit += i64::from(candidate.weight);
         }
-        let richest = (0..self.credit.len()).max_by_key(|index| self.credit[*index]).unwrap_or(0);
-        self.credit[richest] -= total;
-        self.services[richest].service.clone()
+        let selected = (0..self.credit.len()).max_by_key(|index| self.credit[*index]).unwrap_or(0);
+        self.credit[selected] -= total;
+        self.services[selected].service.clone()
     }
 }
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -1,4 +1,4 @@
-//! A whole table of routes, checked when it is built.
+//! Route tables, which are validated when they are created.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -11,17 +11,17 @@
 
 use crate::route::{Route, RouteName};
 
-/// Version of a table; later ones are greater, with gaps.
+/// Version of a route table. Versions increase, possibly with gaps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TableVersion(u64);
 
 impl TableVersion {
-    /// Wraps a version number.
+    /// Creates a version from its number.
     pub fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// The number.
+    /// Returns the number.
     pub fn number(self) -> u64 {
         self.0
     }
@@ -41,73 +41,74 @@
     }
 }
 
-/// What a table says of a service besides its targets.
+/// Specification of a service, without its targets.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceSpec {
-    /// Path at which a target tells its health.
+    /// Path for health probes of the targets.
     pub health_path: String,
-    /// Connections that a target takes from all processes together.
+    /// Maximum number of connections to one target from all processes together.
     pub connections_max: u32,
-    /// What its targets bear while they are cold; `None` if they have no such limit.
+    /// Limit on requests to cold targets; `None` if there is none.
     pub warmup: Option<Warmup>,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits on the requests and connections of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The largest request head.
+    /// Maximum size of a request head.
     pub header_max: Bytes,
-    /// The largest request body.
+    /// Maximum size of a request body.
     pub body_max: Bytes,
-    /// The longest time for a request's head to arrive.
+    /// Timeout for receiving a request head.
     pub header_timeout: Duration,
-    /// Time after which an unused connection may be closed.
+    /// Time after which an idle connection may be closed.
     pub idle_timeout: Duration,
 }
 
-/// Why a table is refused as a whole.
+/// Reason for rejecting a whole table.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum TableError {
-    /// Two routes have one name.
+    /// Two routes have the same name.
     #[error("route {0} occurs twice")]
     DuplicateName(RouteName),
-    /// Two routes have one host and prefix, so that neither could be chosen over the other.
+    /// Two routes have the same host and prefix, so that the choice between them would be
+    /// ambiguous.
     #[error("routes {0} and {1} cover the same requests")]
     DuplicateMatch(RouteName, RouteName),
-    /// A prefix does not start and end with a slash.
+    /// The prefix of a route does not start and end with a slash.
     #[error("route {0}: the prefix does not start and end with a slash")]
     InvalidPrefix(RouteName),
-    /// A route names a service that the table does not have.
+    /// A route refers to a service that is not in the table.
     #[error("route {0}: unknown service {1}")]
     UnknownService(RouteName, ServiceName),
-    /// No part of the route's requests has a weight.
+    /// No service of a route has a weight above zero.
     #[error("route {0}: no service with a weight")]
     NoService(RouteName),
-    /// The route allows no attempt at all.
+    /// A route allows no attempts.
     #[error("route {0}: no attempt is allowed")]
     NoAttempts(RouteName),
-    /// The timeout is zero, so that no request could be answered.
+    /// The timeout of a route is zero, so that no request could be answered.
     #[error("route {0}: the timeout is zero")]
     ZeroTimeout(RouteName),
 }
 
-/// Routes and services in force together. Built only by [`RouteTable::new`], so that each one is
-/// consistent.
+/// Routes and services of one version. Every table is consistent, because it can only be created by
+/// [`RouteTable::new`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteTable {
     version: TableVersion,
-    /// By host, longest prefix first, so that the first route that covers a request is the right
-    /// one.
+    /// Routes by host. Those with longer prefixes come first, so that the first match is the most
+    /// specific one.
     routes: BTreeMap<String, Vec<Arc<Route>>>,
     services: BTreeMap<ServiceName, ServiceSpec>,
     limits: CallerLimits,
 }
 
 impl RouteTable {
-    /// Checks and takes a table.
+    /// Creates a table from validated parts.
     ///
     /// # Errors
-    /// Everything that is wrong with it.
+    /// Returns all errors in the table.
     pub fn new(
         version: TableVersion,
         routes: Vec<Route>,
@@ -123,27 +124,27 @@
         Ok(Self { version, routes: by_host(routes), services, limits })
     }
 
-    /// Its version.
+    /// Returns the version of the table.
     pub fn version(&self) -> TableVersion {
         self.version
     }
 
-    /// The route with the longest prefix among those that cover the request.
+    /// Returns the route with the longest prefix that matches the request.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.routes.get(host)?.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Every route, by host.
+    /// Returns all routes, grouped by host.
     pub fn routes(&self) -> impl Iterator<Item = &Route> {
         self.routes.values().flatten().map(Arc::as_ref)
     }
 
-    /// Every service.
+    /// Returns all services.
     pub fn services(&self) -> &BTreeMap<ServiceName, ServiceSpec> {
         &self.services
     }
 
-    /// What callers may send.
+    /// Returns the limits for callers.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
@@ -165,13 +166,13 @@
     services: &BTreeMap<ServiceName, ServiceSpec>,
 ) -> impl Iterator<Item = TableError> {
     let name = || route.name.clone();
-    let slashes = route.prefix.starts_with('/') && route.prefix.ends_with('/');
-    let weight: u64 = route.services.iter().map(|part| u64::from(part.weight)).sum();
+    let has_slashes = route.prefix.starts_with('/') && route.prefix.ends_with('/');
+    let total_weight: u64 = route.services.iter().map(|part| u64::from(part.weight)).sum();
     let unknown = route.services.iter().filter(|part| !services.contains_key(&part.service));
     let mut errors: Vec<TableError> =
         unknown.map(|part| TableError::UnknownService(name(), part.service.clone())).collect();
-    errors.extend((!slashes).then(|| TableError::InvalidPrefix(name())));
-    errors.extend((weight == 0).then(|| TableError::NoService(name())));
+    errors.extend((!has_slashes).then(|| TableError::InvalidPrefix(name())));
+    errors.extend((total_weight == 0).then(|| TableError::NoService(name())));
     errors.extend((route.attempts_max == 0).then(|| TableError::NoAttempts(name())));
     errors.extend(route.timeout.is_zero().then(|| TableError::ZeroTimeout(name())));
     errors.into_iter()
--- a/crates/routes/tests/routes.rs
+++ b/crates/routes/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Tables, their order of versions, and shares of services.
+//! Tests of route tables, their versions, and the distribution of requests among services.
 
 #![expect(clippy::unwrap_used, reason = "a test builder may end the test")]
 
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn the_longest_prefix_decides() {
+fn longest_prefix_wins() {
     let routes = vec![
         route("all", "/", &[("a", 1)]),
         route("orders", "/orders/", &[("a", 1)]),
@@ -65,14 +65,14 @@
 }
 
 #[test]
-fn a_bad_table_is_refused_with_every_reason() {
-    let mut never_waits = route("hasty", "/hasty/", &[("a", 1)]);
-    never_waits.timeout = Duration::ZERO;
-    let mut never = route("never", "/never/", &[("a", 0)]);
-    never.attempts_max = 0;
+fn invalid_table_is_rejected_with_all_errors() {
+    let mut without_timeout = route("hasty", "/hasty/", &[("a", 1)]);
+    without_timeout.timeout = Duration::ZERO;
+    let mut without_attempts = route("never", "/never/", &[("a", 0)]);
+    without_attempts.attempts_max = 0;
     let routes = vec![
-        never_waits,
-        never,
+        without_timeout,
+        without_attempts,
         route("open", "/open", &[("gone", 1)]),
         route("twice", "/same/", &[("a", 1)]),
         route("twice", "/same/", &[("a", 1)]),
@@ -93,23 +93,26 @@
     );
 }
 
-/// An operator moves a route to another service. A full read that is seconds old then brings the
-/// old table again; without the guard, requests would go to the old service once more.
+/// Guards against requests to the previous service of a route when a full read that is seconds old
+/// returns the table from before an operator's change.
 #[test]
-fn an_older_table_never_comes_back() {
+fn older_table_never_replaces_a_later_one() {
     let mut in_force = TableInForce::new();
-    let of = |version| table(version, vec![route("r", "/", &[("a", 1)])]).unwrap();
-    assert_eq!(in_force.offer(of(5)), OfferOutcome::Accepted);
-    assert_eq!(in_force.offer(of(9)), OfferOutcome::Accepted);
-    assert_eq!(in_force.offer(of(5)), OfferOutcome::Older { in_force: TableVersion::new(9) });
-    assert_eq!(in_force.offer(of(9)), OfferOutcome::AlreadyInForce);
+    let table_with_version = |version| table(version, vec![route("r", "/", &[("a", 1)])]).unwrap();
+    assert_eq!(in_force.offer(table_with_version(5)), OfferOutcome::Accepted);
+    assert_eq!(in_force.offer(table_with_version(9)), OfferOutcome::Accepted);
+    assert_eq!(
+        in_force.offer(table_with_version(5)),
+        OfferOutcome::Older { in_force: TableVersion::new(9) }
+    );
+    assert_eq!(in_force.offer(table_with_version(9)), OfferOutcome::AlreadyInForce);
     assert_eq!(in_force.table().map(|table| table.version()), Some(TableVersion::new(9)));
 }
 
-/// Over any number of requests each service's count differs from its share by at most the number
-/// of services.
+/// Guards against shares that drift: for any number of requests, the count of each service differs
+/// from its share by at most the number of services.
 #[test]
-fn shares_follow_the_weights_at_every_moment() {
+fn shares_match_the_weights_at_any_time() {
     fn property(weights: Vec<u8>, requests: u8) -> TestResult {
         let total: u32 = weights.iter().map(|weight| u32::from(*weight)).sum();
         if total == 0 || weights.len() < 2 {
@@ -124,18 +127,18 @@
         for _ in 0..requests {
             *counts.entry(splitter.next(&route)).or_default() += 1;
         }
-        let near = parts.iter().all(|(name, weight)| {
+        let is_within_bounds = parts.iter().all(|(name, weight)| {
             let count = counts.get(&service(name)).copied().unwrap_or(0);
-            let due = f64::from(requests) * f64::from(*weight) / f64::from(total);
-            (f64::from(count) - due).abs() <= parts.len() as f64
+            let expected = f64::from(requests) * f64::from(*weight) / f64::from(total);
+            (f64::from(count) - expected).abs() <= parts.len() as f64
         });
-        TestResult::from_bool(near)
+        TestResult::from_bool(is_within_bounds)
     }
     QuickCheck::new().tests(500).quickcheck(property as fn(Vec<u8>, u8) -> TestResult);
 }
 
 #[test]
-fn new_weights_hold_from_the_next_request() {
+fn changed_weights_apply_from_the_next_request() {
     let mut splitter = Splitter::new();
     let even = route("split", "/", &[("a", 1), ("b", 1)]);
     splitter.next(&even);
@@ -143,10 +146,10 @@
     assert!((0..20).all(|_| splitter.next(&only_b) == service("b")));
 }
 
-/// An operator tries a route whose objective lies beyond its timeout; refusing the whole table for
-/// it would leave every other change of that version out of force.
+/// Guards against rejecting a whole table, with all its other changes, because the latency
+/// objective of one route exceeds its timeout.
 #[test]
-fn an_objective_beyond_the_timeout_is_no_fault() {
+fn latency_objective_may_exceed_the_timeout() {
     let mut route = route("patient", "/", &[("a", 1)]);
     route.latency_objective = route.timeout * 2;
     assert!(table(1, vec![route]).is_ok());
--- a/crates/timer/src/clock.rs
+++ b/crates/timer/src/clock.rs
@@ -1,31 +1,32 @@
-//! The process's monotonic clock.
+//! Monotonic clock of the process.
 
 use rustix::time::{ClockId, clock_gettime};
 use shallotfork_types::Mono;
 
-/// Reads `CLOCK_BOOTTIME`, which counts time asleep, from a zero drawn at construction.
+/// Monotonic clock that counts from its creation and includes time during which the machine is
+/// suspended (`CLOCK_BOOTTIME`).
 ///
-/// A clock that stops while the machine is suspended would let a process that wakes up late
-/// start work that nobody waits for any more, and keep sessions alive too long.
+/// With a clock that stops during suspension, a resumed process would start work whose callers no
+/// longer wait, and keep sessions alive too long.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    zero_us: u64,
+    origin_us: u64,
 }
 
 impl Clock {
-    /// Starts a clock at zero.
+    /// Creates a clock that starts at zero.
     #[expect(clippy::new_without_default, reason = "a clock's zero is the time of the call")]
     pub fn new() -> Self {
-        Self { zero_us: boot_time_us() }
+        Self { origin_us: boot_time_us() }
     }
 
-    /// Time since the clock was made.
+    /// Returns the time since the clock was created.
     pub fn now(&self) -> Mono {
-        Mono::from_micros(boot_time_us().saturating_sub(self.zero_us))
+        Mono::from_micros(boot_time_us().saturating_sub(self.origin_us))
     }
 }
 
-/// The wall clock in Unix milliseconds, which may jump; zero before 1970.
+/// Returns the wall-clock time in Unix milliseconds; zero before 1970. The wall clock may jump.
 pub fn unix_time_ms() -> u64 {
     let time = clock_gettime(ClockId::Realtime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
--- a/crates/timer/src/lib.rs
+++ b/crates/timer/src/lib.rs
@@ -1,4 +1,4 @@
-//! A monotonic clock and a timer service that parts of a process subscribe to.
+//! Monotonic clock, and timer service that wakes its subscribers periodically.
 
 mod clock;
 mod service;
--- a/crates/timer/src/service.rs
+++ b/crates/timer/src/service.rs
@@ -1,4 +1,4 @@
-//! The timer service: one task that wakes its subscribers.
+//! Timer service: one task that wakes all subscribers.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,7 +10,7 @@
 
 use crate::Clock;
 
-/// How often a subscriber is woken.
+/// Period and jitter of the ticks of one subscriber.
 #[derive(Debug, Clone, Copy)]
 pub struct Schedule {
     period: Duration,
@@ -18,12 +18,13 @@
 }
 
 impl Schedule {
-    /// Wakes once a period, without jitter.
+    /// Creates a schedule with one tick per period, without jitter.
     pub fn new(period: Duration) -> Self {
         Self { period, jitter: Duration::ZERO }
     }
 
-    /// Adds up to `jitter` at random to each period, so that processes started together spread.
+    /// Adds a random time of up to `jitter` to each period, so that processes that start at the
+    /// same time do not stay synchronized.
     #[must_use]
     pub fn with_jitter(mut self, jitter: Duration) -> Self {
         self.jitter = jitter;
@@ -34,18 +35,18 @@
         let jitter_us = u64::try_from(self.jitter.as_micros()).unwrap_or(u64::MAX);
         let extra_us = match jitter_us {
             0 => 0,
-            most_us => rand::rng().random_range(0..most_us),
+            max_us => rand::rng().random_range(0..max_us),
         };
         now.plus(self.period).plus(Duration::from_micros(extra_us))
     }
 }
 
-/// One wake-up.
+/// Wake-up of a subscriber.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Tick {
-    /// When the service woke.
+    /// Time at which the service woke up.
     pub now: Mono,
-    /// How much later than planned; large after the process was paused.
+    /// Delay relative to the scheduled time; large after a pause of the process.
     pub delay: Duration,
 }
 
@@ -56,85 +57,93 @@
 }
 
 impl Subscription {
-    /// Waits for the next tick; `None` after the service has ended.
+    /// Waits for the next tick. Returns `None` after the service has ended.
     ///
-    /// Ticks due while the subscriber was busy, or the process paused, count as one: a process
-    /// that wakes up late sends no burst of probes or heartbeats to catch up.
+    /// Ticks that were due while the subscriber was busy or the process was paused are merged into
+    /// one, so that a resumed process does not send a burst of probes or heartbeats.
     pub async fn tick(&mut self) -> Option<Tick> {
         self.ticks.recv().await
     }
 }
 
-struct Entry {
+struct Subscriber {
     schedule: Schedule,
     ticks: mpsc::Sender<Tick>,
 }
 
-/// Hands out subscriptions; its task runs until the service and every clone is dropped.
+/// Timer service that issues subscriptions. Its task runs until the service and all clones are
+/// dropped.
 #[derive(Debug, Clone)]
 pub struct TimerService {
     clock: Clock,
-    joins: mpsc::UnboundedSender<(Schedule, mpsc::Sender<Tick>)>,
+    new_subscribers: mpsc::UnboundedSender<(Schedule, mpsc::Sender<Tick>)>,
 }
 
 impl TimerService {
-    /// Starts the service's task on the current tokio runtime.
+    /// Creates a service and spawns its task on the current Tokio runtime.
     pub fn new(clock: Clock) -> Self {
-        let (joins, joined) = mpsc::unbounded_channel();
-        tokio::spawn(run(clock, joined));
-        Self { clock, joins }
+        let (new_subscribers, received) = mpsc::unbounded_channel();
+        tokio::spawn(run(clock, received));
+        Self { clock, new_subscribers }
     }
 
-    /// The service's clock.
+    /// Returns the clock of the service.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Subscribes to a schedule; the first tick comes one period from now.
+    /// Subscribes to a schedule. The first tick is due one period from now.
     pub fn subscribe(&self, schedule: Schedule) -> Subscription {
         let (sender, ticks) = mpsc::channel(1);
         // The task outlives every clone of the service, so the send cannot fail.
-        let _ = self.joins.send((schedule, sender));
+        let _ = self.new_subscribers.send((schedule, sender));
         Subscription { ticks }
     }
 }
 
-async fn run(clock: Clock, mut joined: mpsc::UnboundedReceiver<(Schedule, mpsc::Sender<Tick>)>) {
+async fn run(
+    clock: Clock,
+    mut new_subscribers: mpsc::UnboundedReceiver<(Schedule, mpsc::Sender<Tick>)>,
+) {
     let mut due: BinaryHeap<Reverse<(Mono, usize)>> = BinaryHeap::new();
-    let mut entries: Vec<Entry> = Vec::new();
+    let mut subscribers: Vec<Subscriber> = Vec::new();
     loop {
         let wait = due.peek().map(|Reverse((at, _))| at.since(clock.now()));
         tokio::select! {
-            join = joined.recv() => {
-                let Some((schedule, ticks)) = join else { return };
-                due.push(Reverse((schedule.next_after(clock.now()), entries.len())));
-                entries.push(Entry { schedule, ticks });
+            new = new_subscribers.recv() => {
+                let Some((schedule, ticks)) = new else { return };
+                due.push(Reverse((schedule.next_after(clock.now()), subscribers.len())));
+                subscribers.push(Subscriber { schedule, ticks });
             }
-            () = sleep_or_forever(wait) => wake(clock, &mut due, &entries),
+            () = sleep_or_pend(wait) => notify_due(clock, &mut due, &subscribers),
         }
     }
 }
 
-async fn sleep_or_forever(wait: Option<Duration>) {
+async fn sleep_or_pend(wait: Option<Duration>) {
     match wait {
         Some(wait) => tokio::time::sleep(wait).await,
         None => std::future::pending().await,
     }
 }
 
-fn wake(clock: Clock, due: &mut BinaryHeap<Reverse<(Mono, usize)>>, entries: &[Entry]) {
+fn notify_due(
+    clock: Clock,
+    due: &mut BinaryHeap<Reverse<(Mono, usize)>>,
+    subscribers: &[Subscriber],
+) {
     let now = clock.now();
     while let Some(Reverse((at, index))) = due.peek().copied() {
         if at > now {
             return;
         }
         due.pop();
-        let entry = &entries[index];
+        let subscriber = &subscribers[index];
         let tick = Tick { now, delay: now.since(at) };
-        let closed =
-            matches!(entry.ticks.try_send(tick), Err(mpsc::error::TrySendError::Closed(_)));
-        if !closed {
-            due.push(Reverse((entry.schedule.next_after(now), index)));
+        let is_closed =
+            matches!(subscriber.ticks.try_send(tick), Err(mpsc::error::TrySendError::Closed(_)));
+        if !is_closed {
+            due.push(Reverse((subscriber.schedule.next_after(now), index)));
         }
     }
 }
--- a/crates/timer/tests/service.rs
+++ b/crates/timer/tests/service.rs
@@ -1,4 +1,4 @@
-//! Subscribers are woken once a period and never in bursts.
+//! Tests that subscribers are woken once per period, without bursts.
 
 use std::time::Duration;
 
@@ -17,11 +17,10 @@
     }
 }
 
-/// A process is paused for many periods and then resumed.
-/// Its probes and heartbeats would all be due at once and overload targets and peers.
-/// The cause would be a timer that replays missed ticks.
+/// Guards against bursts of probes and heartbeats, which overload targets and peers, when a process
+/// is resumed after many periods. The cause would be a timer that replays missed ticks.
 #[tokio::test]
-async fn missed_ticks_count_as_one() {
+async fn missed_ticks_are_merged() {
     let service = TimerService::new(Clock::new());
     let period = Duration::from_millis(5);
     let mut subscription = service.subscribe(Schedule::new(period));
