--- a/crates/shallotd/src/control/report.rs
+++ b/crates/shallotd/src/control/report.rs
@@ -25,7 +25,7 @@
         vm: context.identity.vm.clone(),
         incarnation: context.identity.incarnation,
         state: life_cycle(state),
-        synced_revision: lists.cursor.complete(),
+        synced_revision: lists.cursor.synced_revision(),
         lists: lists.status(now),
         targets,
         sessions: state.ledger.borrow().status(),
@@ -43,7 +43,7 @@
     };
     for service in state.context.snapshot().services.values() {
         let counts = service.pool.counts();
-        total.attempts += counts.firsts;
+        total.attempts += counts.first_attempts;
         total.retries += counts.retries;
         total.hedges += counts.hedges;
     }
