--- a/crates/balance/src/admission.rs
+++ b/crates/balance/src/admission.rs
@@ -1,11 +1,11 @@
-//! What the pool answers, and what it is told in return.
+//! Admission decisions of a pool, their identifiers, and the outcomes reported back to it.
 
 use std::fmt;
 use std::time::Duration;
 
 use shallotfork_types::TargetId;
 
-/// One attempt at a target, until `Pool::finish`.
+/// Identifies one attempt at a target until it is passed to `Pool::finish`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub(crate) u64);
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// One request in the queue, until it is woken or cancelled.
+/// Identifies one request in the queue until it is resolved or cancelled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub(crate) u64);
 
@@ -25,27 +25,27 @@
     }
 }
 
-/// Leave to send one attempt to a target; it must be given back by `Pool::finish`.
+/// A permit to send one attempt to a target; it must be returned through `Pool::finish`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Assignment {
-    /// The attempt, to be named when it ends.
+    /// The attempt to pass to `Pool::finish` when it ends.
     pub attempt: AttemptId,
-    /// Where to send it.
+    /// The target to send it to.
     pub target: TargetId,
 }
 
-/// Why a request is refused.
+/// The reason for which a request is shed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShedReason {
     /// The deadline has passed.
     DeadlinePassed,
-    /// The expected wait and the usual latency end after the deadline.
+    /// The expected wait plus the usual latency ends after the deadline.
     DeadlineTooNear,
-    /// The queue is full of requests that go before this one.
+    /// The queue is full of requests that are served before this one.
     QueueFull,
-    /// No target may serve the request: none is in the list, or all are draining or excluded.
+    /// No target may serve the request: none is listed, or all are draining or excluded.
     NoTarget,
-    /// Retries have used up their share of first attempts.
+    /// Retries have used up their budget, a share of first attempts.
     RetryBudget,
     /// The request is quarantined because it crashed several targets.
     Quarantined,
@@ -54,7 +54,7 @@
 }
 
 impl ShedReason {
-    /// The text used in logs, metrics and answers.
+    /// Returns the text used in logs, metrics and answers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::DeadlinePassed => "deadline-passed",
@@ -74,48 +74,48 @@
     }
 }
 
-/// A refusal; nothing was sent.
+/// A rejection; the request was not sent to any target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Shed {
-    /// When the queue is expected to have room, from now.
+    /// Time from now until the queue is expected to have room.
     pub retry_after: Duration,
-    /// Why.
+    /// The reason for the rejection.
     pub reason: ShedReason,
 }
 
-/// What becomes of a request at once.
+/// The immediate decision about a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Admission {
-    /// Send it now.
+    /// Send the request now.
     Send(Assignment),
-    /// Wait until the ticket is woken.
+    /// Wait until the ticket is resolved.
     Queued(Ticket),
-    /// Refuse it.
+    /// Reject the request.
     Shed(Shed),
 }
 
-/// What becomes of a queued request.
+/// The final decision about a queued request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Resolution {
-    /// Send it now.
+    /// Send the request now.
     Send(Assignment),
-    /// Refuse it.
+    /// Reject the request.
     Shed(Shed),
 }
 
-/// The end of one ticket.
+/// A ticket that has left the queue, with the decision about its request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResolvedTicket {
-    /// The ticket that `Admission::Queued` gave.
+    /// The ticket that `Admission::Queued` returned.
     pub ticket: Ticket,
-    /// What becomes of its request.
+    /// The decision about the ticket's request.
     pub resolution: Resolution,
 }
 
-/// What a pool was asked for so far.
+/// Numbers of attempts requested from a pool since its creation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct PoolCounts {
-    /// Requests that were not sent before, refused ones included.
+    /// Requests that were not sent before, including rejected ones.
     pub first_attempts: u64,
     /// Retries within the budget.
     pub retries: u64,
@@ -123,20 +123,21 @@
     pub hedges: u64,
 }
 
-/// How an attempt ended.
+/// The way in which an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// A whole answer that is no server error came after this time.
+    /// A complete answer that is not a server error arrived.
     Answered {
-        /// From sending to the last byte of the answer.
+        /// Time from sending the request to the last byte of the answer.
         latency: Duration,
     },
     /// The connection failed or the answer was a server error.
     Failed,
-    /// The target refused for overload.
+    /// The target rejected the request because of overload.
     Shed,
-    /// No answer came in time.
+    /// No answer arrived in time.
     TimedOut,
-    /// Given up for a reason that is not the target's, such as another attempt's answer.
+    /// The attempt was abandoned for a reason not caused by the target, such as an answer to
+    /// another attempt.
     Cancelled,
 }
--- a/crates/balance/src/budget.rs
+++ b/crates/balance/src/budget.rs
@@ -1,56 +1,63 @@
-//! Extra attempts as a share of first ones.
+//! A budget for extra attempts, as a share of first attempts.
 
 use shallotfork_types::Permille;
 
-/// Thousandths of an extra attempt that one extra attempt takes.
+/// Cost of one extra attempt, in thousandths.
 const ATTEMPT_MILLI: u64 = 1000;
 
-/// Lets extra attempts through up to a share of first attempts.
+/// Allows extra attempts up to a share of first attempts.
 ///
-/// In any span of time: extras <= `burst` + share x first attempts. Without it, retries multiply
-/// the load just when targets fail, and the overload keeps itself up after its cause is gone.
+/// In any span of time, extra attempts <= `burst` + share x first attempts. Without this bound,
+/// retries multiply the load when targets fail, and the overload sustains itself after its cause is
+/// gone.
 #[derive(Debug)]
 pub(crate) struct ShareBudget {
     share: Permille,
     burst_milli: u64,
-    saved_milli: u64,
-    firsts: u64,
-    taken: u64,
+    available_milli: u64,
+    first_attempts: u64,
+    extra_attempts: u64,
 }
 
 impl ShareBudget {
     pub(crate) fn new(share: Permille, burst: u32) -> Self {
         let burst_milli = u64::from(burst) * ATTEMPT_MILLI;
-        Self { share, burst_milli, saved_milli: burst_milli, firsts: 0, taken: 0 }
+        Self {
+            share,
+            burst_milli,
+            available_milli: burst_milli,
+            first_attempts: 0,
+            extra_attempts: 0,
+        }
     }
 
-    pub(crate) fn first_attempt(&mut self) {
-        self.firsts += 1;
-        let saved = self.saved_milli + u64::from(self.share.value());
-        self.saved_milli = saved.min(self.burst_milli);
+    pub(crate) fn record_first_attempt(&mut self) {
+        self.first_attempts += 1;
+        let available = self.available_milli + u64::from(self.share.value());
+        self.available_milli = available.min(self.burst_milli);
     }
 
     pub(crate) fn has_room(&self) -> bool {
-        self.saved_milli >= ATTEMPT_MILLI
+        self.available_milli >= ATTEMPT_MILLI
     }
 
-    /// First attempts so far.
-    pub(crate) fn firsts(&self) -> u64 {
-        self.firsts
+    /// Returns the number of first attempts so far.
+    pub(crate) fn first_attempts(&self) -> u64 {
+        self.first_attempts
     }
 
-    /// Extra attempts so far.
-    pub(crate) fn taken(&self) -> u64 {
-        self.taken
+    /// Returns the number of extra attempts so far.
+    pub(crate) fn extra_attempts(&self) -> u64 {
+        self.extra_attempts
     }
 
-    /// Takes one extra attempt, or answers that there is none left.
-    pub(crate) fn take(&mut self) -> bool {
+    /// Takes one extra attempt from the budget; returns false when none is left.
+    pub(crate) fn try_take(&mut self) -> bool {
         if !self.has_room() {
             return false;
         }
-        self.saved_milli -= ATTEMPT_MILLI;
-        self.taken += 1;
+        self.available_milli -= ATTEMPT_MILLI;
+        self.extra_attempts += 1;
         true
     }
 }
--- a/crates/balance/src/group.rs
+++ b/crates/balance/src/group.rs
@@ -1,50 +1,51 @@
-//! Which entries serve a service, and which targets each of them prefers.
+//! Selects the entries that serve a service and the home targets of each entry.
 
 use std::collections::BTreeMap;
 
 use shallotfork_types::{FailureDomain, ServiceName, TargetId, VmId, rendezvous_weight};
 
-/// How many entries serve a service.
+/// Number of entries that serve a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GroupSize(u32);
 
 impl GroupSize {
-    /// Wraps a number of entries; zero counts as one.
+    /// Creates a group size; zero counts as one.
     pub fn new(entries: u32) -> Self {
         Self(entries.max(1))
     }
 
-    /// The number of entries.
+    /// Returns the number of entries.
     pub fn value(self) -> u32 {
         self.0
     }
 }
 
-/// An entry that may serve services.
+/// An entry that can serve services.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GroupEntry {
-    /// The entry.
+    /// The VM of the entry.
     pub vm: VmId,
-    /// Where it runs.
+    /// The failure domain of the VM.
     pub failure_domain: FailureDomain,
 }
 
 /// The entries that serve one service, best first, spread over failure domains.
 ///
-/// Every process that has the same list of entries finds the same group; where views differ, the
-/// group only steers callers and preferences, and any entry serves any service it is asked for.
+/// Every process with the same list of entries computes the same group. Where views differ, the
+/// group only affects advertisement to callers and target preferences: any entry serves any service
+/// it is asked for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceGroup {
     members: Vec<VmId>,
 }
 
 impl ServiceGroup {
-    /// Chooses the group by rendezvous hash: taking turns between failure domains, the entries
-    /// with the highest weights.
+    /// Selects the group by rendezvous hashing: takes the entries with the highest weights, in turn
+    /// from each failure domain.
     pub fn new(service: &ServiceName, entries: &[GroupEntry], size: GroupSize) -> Self {
         let mut ranked: Vec<(usize, u64, &GroupEntry)> = Vec::with_capacity(entries.len());
-        for (turn, weight, entry) in by_domain(service, entries) {
-            ranked.push((turn, weight, entry));
+        for (rank, weight, entry) in rank_within_domains(service, entries) {
+            ranked.push((rank, weight, entry));
         }
         ranked.sort_by(|a, b| (a.0, b.1, &a.2.vm).cmp(&(b.0, a.1, &b.2.vm)));
         let wanted = size.value() as usize;
@@ -52,40 +53,41 @@
         Self { members: members.collect() }
     }
 
-    /// The group's entries, best first.
+    /// Returns the entries of the group, best first.
     pub fn members(&self) -> &[VmId] {
         &self.members
     }
 
-    /// Whether the entry belongs to the group.
+    /// Returns whether the entry belongs to the group.
     pub fn contains(&self, vm: &VmId) -> bool {
         self.members.contains(vm)
     }
 
-    /// The targets that `vm` prefers: each target is preferred by one member, evenly dealt.
+    /// Returns the home targets of `vm`: each target is the home target of one member, and targets
+    /// are distributed evenly over the members.
     ///
-    /// A member knows how busy its own targets are, because it alone sends them most of their
-    /// work; on others its own count of requests in flight says little.
+    /// A member knows the load of its home targets because it sends them most of their work. For
+    /// other targets, its own number of requests in flight says little.
     pub fn home_targets(&self, vm: &VmId, targets: &[TargetId]) -> Vec<TargetId> {
         if self.members.is_empty() {
             return Vec::new();
         }
-        let most = targets.len().div_ceil(self.members.len());
-        let mut dealt: BTreeMap<&VmId, Vec<TargetId>> = BTreeMap::new();
-        let mut ordered: Vec<&TargetId> = targets.iter().collect();
-        ordered.sort();
-        for target in ordered {
-            let room = |vm: &&VmId| dealt.get(vm).is_none_or(|homes| homes.len() < most);
+        let max_homes = targets.len().div_ceil(self.members.len());
+        let mut homes: BTreeMap<&VmId, Vec<TargetId>> = BTreeMap::new();
+        let mut sorted_targets: Vec<&TargetId> = targets.iter().collect();
+        sorted_targets.sort();
+        for target in sorted_targets {
+            let room = |vm: &&VmId| homes.get(vm).is_none_or(|ids| ids.len() < max_homes);
             let weight = |vm: &&VmId| rendezvous_weight(target.as_str(), vm.as_str());
             let Some(home) = self.members.iter().filter(room).max_by_key(weight) else { continue };
-            dealt.entry(home).or_default().push(target.clone());
+            homes.entry(home).or_default().push(target.clone());
         }
-        dealt.remove(vm).unwrap_or_default()
+        homes.remove(vm).unwrap_or_default()
     }
 }
 
-/// Each entry with its rank by weight within its failure domain.
-fn by_domain<'a>(
+/// Returns each entry with its rank by weight within its failure domain.
+fn rank_within_domains<'a>(
     service: &ServiceName,
     entries: &'a [GroupEntry],
 ) -> Vec<(usize, u64, &'a GroupEntry)> {
@@ -97,8 +99,8 @@
     let mut ranked = Vec::new();
     for mut members in domains.into_values() {
         members.sort_by(|a, b| (b.0, &a.1.vm).cmp(&(a.0, &b.1.vm)));
-        let turns = members.into_iter().enumerate();
-        ranked.extend(turns.map(|(turn, (weight, entry))| (turn, weight, entry)));
+        let ranks = members.into_iter().enumerate();
+        ranked.extend(ranks.map(|(rank, (weight, entry))| (rank, weight, entry)));
     }
     ranked
 }
--- a/crates/balance/src/latency.rs
+++ b/crates/balance/src/latency.rs
@@ -1,15 +1,15 @@
-//! Recent latencies of a pool, as a histogram that forgets.
+//! Histogram of the recent latencies of a pool.
 
 use std::time::Duration;
 
 /// Buckets per doubling of the latency; a quantile is at most a quarter octave too high.
 const BUCKETS_PER_OCTAVE: f64 = 4.0;
 const BUCKETS: usize = 96;
-/// Lower bound of the first bucket.
-const FIRST_US: f64 = 64.0;
-/// All counts are halved when they sum up to this, so that old latencies fade.
-const FORGET_AT: u32 = 4000;
-/// With fewer samples quantiles say nothing.
+/// Lower bound of the first bucket, in microseconds.
+const LOWEST_BOUND_US: f64 = 64.0;
+/// Number of samples at which all counts are halved, so that old latencies lose weight.
+const HALVE_AT_SAMPLES: u32 = 4000;
+/// Minimum number of samples; with fewer, no quantile is returned.
 const SAMPLES_MIN: u32 = 20;
 
 #[derive(Debug)]
@@ -26,21 +26,21 @@
     pub(crate) fn record(&mut self, latency: Duration) {
         self.counts[bucket(latency)] += 1;
         self.total += 1;
-        if self.total >= FORGET_AT {
+        if self.total >= HALVE_AT_SAMPLES {
             self.halve();
         }
     }
 
-    /// The upper bound of the bucket that holds the quantile; `None` with too few samples.
+    /// Returns the upper bound of the bucket that holds the quantile; `None` with too few samples.
     pub(crate) fn quantile(&self, share: f64) -> Option<Duration> {
         if self.total < SAMPLES_MIN {
             return None;
         }
-        let wanted = (f64::from(self.total) * share).ceil() as u32;
-        let mut seen = 0;
+        let rank = (f64::from(self.total) * share).ceil() as u32;
+        let mut cumulative = 0;
         for (index, count) in self.counts.iter().enumerate() {
-            seen += count;
-            if seen >= wanted {
+            cumulative += count;
+            if cumulative >= rank {
                 return Some(upper_bound(index));
             }
         }
@@ -56,11 +56,11 @@
 }
 
 fn bucket(latency: Duration) -> usize {
-    let octaves = (latency.as_micros() as f64 / FIRST_US).max(1.0).log2();
+    let octaves = (latency.as_micros() as f64 / LOWEST_BOUND_US).max(1.0).log2();
     ((octaves * BUCKETS_PER_OCTAVE) as usize).min(BUCKETS - 1)
 }
 
 fn upper_bound(index: usize) -> Duration {
     let octaves = (index + 1) as f64 / BUCKETS_PER_OCTAVE;
-    Duration::from_micros((FIRST_US * octaves.exp2()) as u64)
+    Duration::from_micros((LOWEST_BOUND_US * octaves.exp2()) as u64)
 }
--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -1,8 +1,8 @@
-//! Which target serves a request, and when: target choice, the queue before it, hedges and
-//! retries, and which entries serve a service.
+//! Load balancing decisions: target selection, admission and queueing, hedges, retries, and the
+//! group of entries that serves a service.
 //!
-//! Pure decisions: time and the random seed are handed in, nothing here does I/O. One `Pool`
-//! serves one service in one process.
+//! All decisions are pure: the time and the random seed are passed in, and nothing here does I/O.
+//! One `Pool` serves one service in one process.
 
 mod admission;
 mod budget;
--- a/crates/balance/src/limit.rs
+++ b/crates/balance/src/limit.rs
@@ -1,64 +1,66 @@
-//! How many requests this process may have in flight to all targets together.
+//! Adaptive limit on the requests in flight from this process to all targets of a pool.
 
 use shallotfork_types::Mono;
 use std::time::Duration;
 
-/// Lowest limit: with less than one, the service would not be tried any more.
+/// Lowest limit; with less than one, the service would never be tried again.
 const LIMIT_MIN: f64 = 1.0;
-/// Answers in a window; its lowest latency is then unlikely to be a chance find.
+/// Minimum number of answers in a window, so that its lowest latency is unlikely to be an outlier.
 const WINDOW_ANSWERS: u32 = 20;
-/// A window lasts at least this long, so that a change shows in the latencies of the next one.
+/// Minimum length of a window, so that a change of the limit shows in the latencies of the next
+/// one.
 const WINDOW_MIN: Duration = Duration::from_millis(50);
-/// What is left of the limit after a window in which every request waited at its target.
+/// Factor applied to the limit after a window in which every request waited at its target.
 const DECREASE: f64 = 0.85;
-/// Growth of the limit in a window without waits, while requests wait here.
+/// Relative growth of the limit in a window without waits, while requests wait in the queue here.
 const INCREASE_SHARE: f64 = 0.05;
-const INCREASE: f64 = 0.5;
-/// A wait counts from this multiple of the usual latency. Half of it costs 1.5% of goodput near
-/// saturation; more lets queues at targets grow when many entries serve a service.
-const WAIT_PART: f64 = 1.0;
-/// How fast the latencies of quiet times rise to higher ones, a window.
-const FORGET: f64 = 0.01;
+const INCREASE_STEP: f64 = 0.5;
+/// Wait at the targets from which the limit is lowered, as a multiple of the usual latency. Half of
+/// it costs 1.5% of goodput near saturation; more lets queues grow at the targets when many entries
+/// serve a service.
+const WAIT_THRESHOLD: f64 = 1.0;
+/// Share by which the baseline latencies rise toward higher ones in each window.
+const BASELINE_RISE: f64 = 0.01;
 
-/// Lowers the limit while even the quickest answers show a wait at the targets.
+/// A concurrency limit that is lowered while even the fastest answers show a wait at the targets.
 ///
-/// Gates alone don't bound the queues at targets: fourteen processes that each keep a few requests
-/// at a target with two slots queue dozens there, where no deadline or priority is looked at. The
-/// lowest latency of a window rises with the queue that every request meets, and not with chance
-/// waits of some. All processes see the same queues, so each goes down to its share without
-/// knowing how many there are.
+/// Concurrency limits per target do not bound the queues at targets: fourteen processes that each
+/// keep a few requests in flight at a target with two slots build a queue of dozens there, which
+/// ignores deadlines and priorities. The lowest latency of a window rises with the queue that every
+/// request meets, not with random waits of some requests. All processes see the same queues, so
+/// each one falls to its share without knowing how many processes there are.
 ///
-/// Load reports are not used: they may be old, and a limit that follows old reports swings.
+/// Load reports are not used: they may be old, and a limit that follows old reports oscillates.
 #[derive(Debug)]
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
     max: f64,
-    window_from: Mono,
+    window_started_at: Mono,
     answers: u32,
     lowest_us: f64,
-    quiet: Option<Quiet>,
+    baseline: Option<Baseline>,
 }
 
-/// Latencies, in microseconds, while nothing waits at the targets.
+/// Latencies, in microseconds, while no request waits at the targets.
 #[derive(Debug, Clone, Copy)]
-struct Quiet {
-    /// The lowest of a window.
+struct Baseline {
+    /// The lowest latency of a window.
     lowest_us: f64,
     usual_us: f64,
 }
 
-impl Quiet {
-    /// Falls at once and rises slowly, and not while requests wait: then the latencies are those of
-    /// the crowd.
-    fn learn(self, seen: Self, waiting: bool) -> Self {
-        let follow = |known: f64, seen: f64| match seen < known {
-            true => seen,
-            false if waiting => known,
-            false => known + (seen - known) * FORGET,
+impl Baseline {
+    /// Lowers the baseline at once and raises it slowly. It is not raised while requests wait here,
+    /// because latencies then include the wait at saturated targets.
+    fn update(self, observed: Self, has_queue: bool) -> Self {
+        let track = |current: f64, observed: f64| match observed < current {
+            true => observed,
+            false if has_queue => current,
+            false => current + (observed - current) * BASELINE_RISE,
         };
         Self {
-            lowest_us: follow(self.lowest_us, seen.lowest_us),
-            usual_us: follow(self.usual_us, seen.usual_us),
+            lowest_us: track(self.lowest_us, observed.lowest_us),
+            usual_us: track(self.usual_us, observed.usual_us),
         }
     }
 }
@@ -68,16 +70,17 @@
         Self {
             limit: LIMIT_MIN,
             max: LIMIT_MIN,
-            window_from: Mono::ZERO,
+            window_started_at: Mono::ZERO,
             answers: 0,
             lowest_us: f64::INFINITY,
-            quiet: None,
+            baseline: None,
         }
     }
 
-    /// Takes the sum of the gates, which the limit never passes; it starts there.
-    pub(crate) fn set_max(&mut self, gates: u32) {
-        let max = f64::from(gates).max(LIMIT_MIN);
+    /// Sets the upper bound of the limit to the sum of the per-target limits; the limit starts
+    /// there.
+    pub(crate) fn set_max(&mut self, per_target_sum: u32) {
+        let max = f64::from(per_target_sum).max(LIMIT_MIN);
         let at_max = self.limit >= self.max;
         self.limit = if at_max { max } else { self.limit.min(max) };
         self.max = max;
@@ -87,28 +90,34 @@
         (running as f64) < self.limit
     }
 
-    /// Takes the latency of an answer; `usual_us` is the usual one without waiting, `waiting`
-    /// whether requests wait here.
-    pub(crate) fn answered(&mut self, latency_us: f64, usual_us: f64, waiting: bool, now: Mono) {
+    /// Records the latency of an answer. `usual_us` is the usual latency without waiting;
+    /// `has_queue` is whether requests wait here.
+    pub(crate) fn record_answer(
+        &mut self,
+        latency_us: f64,
+        usual_us: f64,
+        has_queue: bool,
+        now: Mono,
+    ) {
         self.answers += 1;
         self.lowest_us = self.lowest_us.min(latency_us);
-        if self.answers < WINDOW_ANSWERS || now.since(self.window_from) < WINDOW_MIN {
+        if self.answers < WINDOW_ANSWERS || now.since(self.window_started_at) < WINDOW_MIN {
             return;
         }
-        self.adjust(usual_us, waiting);
-        self.window_from = now;
+        self.adjust(usual_us, has_queue);
+        self.window_started_at = now;
         self.answers = 0;
         self.lowest_us = f64::INFINITY;
     }
 
-    fn adjust(&mut self, usual_us: f64, waiting: bool) {
-        let seen = Quiet { lowest_us: self.lowest_us, usual_us };
-        let quiet = *self.quiet.get_or_insert(seen);
-        self.quiet = Some(quiet.learn(seen, waiting));
-        if self.lowest_us > quiet.lowest_us + quiet.usual_us * WAIT_PART {
+    fn adjust(&mut self, usual_us: f64, has_queue: bool) {
+        let observed = Baseline { lowest_us: self.lowest_us, usual_us };
+        let baseline = *self.baseline.get_or_insert(observed);
+        self.baseline = Some(baseline.update(observed, has_queue));
+        if self.lowest_us > baseline.lowest_us + baseline.usual_us * WAIT_THRESHOLD {
             self.limit = (self.limit * DECREASE).max(LIMIT_MIN);
-        } else if waiting {
-            let grown = self.limit * (1.0 + INCREASE_SHARE) + INCREASE;
+        } else if has_queue {
+            let grown = self.limit * (1.0 + INCREASE_SHARE) + INCREASE_STEP;
             self.limit = grown.min(self.max);
         }
     }
--- a/crates/balance/src/policy.rs
+++ b/crates/balance/src/policy.rs
@@ -1,4 +1,4 @@
-//! The ways to choose among targets that have room.
+//! Policies for selecting one of the targets that have room.
 
 use std::error::Error;
 use std::fmt;
@@ -7,29 +7,29 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-/// How a target is chosen.
+/// A policy for selecting a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Policy {
-    /// Any, with equal chance.
+    /// Any target, with equal probability.
     Random,
-    /// One after the other.
+    /// Each target in turn.
     RoundRobin,
-    /// The one with the fewest requests in flight from this process.
+    /// The target with the fewest requests in flight from this process.
     LeastInFlight,
-    /// The better of two random ones by requests in flight from this process.
+    /// The better of two random targets by requests in flight from this process.
     PowerOfTwo,
-    /// The one with the lowest expected cost from own requests in flight, load reports
+    /// The target with the lowest expected cost, computed from own requests in flight, load reports
     /// discounted by age, latency and failures.
     #[default]
     LoadAware,
 }
 
 impl Policy {
-    /// Every policy, baselines first.
+    /// All policies, baselines first.
     pub const ALL: [Self; 5] =
         [Self::Random, Self::RoundRobin, Self::LeastInFlight, Self::PowerOfTwo, Self::LoadAware];
 
-    /// The name used in settings and tables.
+    /// Returns the name used in settings and tables.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Random => "random",
@@ -47,7 +47,7 @@
     }
 }
 
-/// When a text names no policy.
+/// The error for a text that is not the name of a policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnknownPolicy;
 
@@ -67,73 +67,74 @@
     }
 }
 
-/// What a policy knows of a target that has room.
+/// A target that has room, as seen by a policy.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Candidate {
-    /// Place in the pool's list of targets.
+    /// Index in the list of targets of the pool.
     pub(crate) index: usize,
     pub(crate) running: u32,
     /// Expected cost of one more request, comparable between candidates; only for `LoadAware`.
     pub(crate) cost: f64,
 }
 
-/// What a policy remembers between choices.
+/// A policy with its state between selections.
 #[derive(Debug)]
-pub(crate) struct Chooser {
+pub(crate) struct Selector {
     policy: Policy,
     rng: SmallRng,
-    /// Place of the last target in turn.
-    last: usize,
+    /// Index of the last target selected by `RoundRobin`.
+    last_index: usize,
 }
 
-impl Chooser {
+impl Selector {
     pub(crate) fn new(policy: Policy, rng: SmallRng) -> Self {
-        Self { policy, rng, last: 0 }
+        Self { policy, rng, last_index: 0 }
     }
 
-    /// A random number from zero to one, for spreading times.
-    pub(crate) fn fraction(&mut self) -> f64 {
+    /// Returns a random number from zero to one, used as jitter.
+    pub(crate) fn jitter(&mut self) -> f64 {
         self.rng.random::<f64>()
     }
 
-    pub(crate) fn choose(&mut self, candidates: &[Candidate]) -> Option<usize> {
+    pub(crate) fn select(&mut self, candidates: &[Candidate]) -> Option<usize> {
         if candidates.is_empty() {
             return None;
         }
         match self.policy {
-            Policy::Random => Some(candidates[self.any(candidates.len())].index),
-            Policy::RoundRobin => self.next_in_turn(candidates),
+            Policy::Random => Some(candidates[self.random_index(candidates.len())].index),
+            Policy::RoundRobin => self.next_round_robin(candidates),
             Policy::LeastInFlight => self.lowest(candidates, |c| f64::from(c.running)),
             Policy::PowerOfTwo => self.better_of_two(candidates),
             Policy::LoadAware => self.lowest(candidates, |c| c.cost),
         }
     }
 
-    fn any(&mut self, count: usize) -> usize {
+    fn random_index(&mut self, count: usize) -> usize {
         self.rng.random_range(0..count)
     }
 
-    fn next_in_turn(&mut self, candidates: &[Candidate]) -> Option<usize> {
-        let after = candidates.iter().find(|c| c.index > self.last);
-        let chosen = after.or(candidates.first())?;
-        self.last = chosen.index;
-        Some(chosen.index)
+    fn next_round_robin(&mut self, candidates: &[Candidate]) -> Option<usize> {
+        let after = candidates.iter().find(|c| c.index > self.last_index);
+        let selected = after.or(candidates.first())?;
+        self.last_index = selected.index;
+        Some(selected.index)
     }
 
     fn better_of_two(&mut self, candidates: &[Candidate]) -> Option<usize> {
-        let first = candidates[self.any(candidates.len())];
-        let second = candidates[self.any(candidates.len())];
+        let first = candidates[self.random_index(candidates.len())];
+        let second = candidates[self.random_index(candidates.len())];
         let better = if second.running < first.running { second } else { first };
         Some(better.index)
     }
 
-    /// The lowest by `key`; among equals a random one, so that processes don't all pick the same.
+    /// Selects the candidate with the lowest key, at random among equals, so that processes do not
+    /// all select the same one.
     fn lowest(
         &mut self,
         candidates: &[Candidate],
         key: impl Fn(&Candidate) -> f64,
     ) -> Option<usize> {
-        let start = self.any(candidates.len());
+        let start = self.random_index(candidates.len());
         let rotated = candidates[start..].iter().chain(&candidates[..start]);
         rotated.min_by(|a, b| key(a).total_cmp(&key(b))).map(|c| c.index)
     }
--- a/crates/balance/src/pool.rs
+++ b/crates/balance/src/pool.rs
@@ -1,7 +1,7 @@
-//! The state of one service's targets, queue and budgets in one process.
+//! The pool of one service in one process: its targets, queue and budgets.
 
 mod choice;
-mod learn;
+mod outcomes;
 mod waiting;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,133 +15,140 @@
 use crate::budget::ShareBudget;
 use crate::latency::LatencyHistogram;
 use crate::limit::ConcurrencyLimit;
-use crate::policy::Chooser;
+use crate::policy::Selector;
 use crate::queue::WaitQueue;
-use crate::target::{PoolView, Ramp, RampKind, Target};
+use crate::target::{PoolStats, Ramp, RampKind, Target};
 use crate::{
     Admission, Assignment, AttemptId, AttemptOutcome, PoolConfig, PoolCounts, PoolRequest,
     PoolTarget, ResolvedTicket, ShedReason, TargetStatus, Ticket,
 };
 
-/// Weight of a new report in the mean number of requests of other processes.
+/// Weight of a new report in the mean number of requests from other processes.
 const OTHERS_WEIGHT: f64 = 0.02;
 
 #[derive(Debug)]
-struct Running {
+struct RunningAttempt {
     target: TargetId,
-    started: Mono,
-    /// Expected time as a multiple of the service time, when it was sent.
-    crowding: f64,
+    started_at: Mono,
+    /// Expected time as a multiple of the service time, computed when the attempt was sent.
+    wait_factor: f64,
 }
 
-/// Decides for one service which request goes to which target, and when.
+/// Decides for one service which request is sent to which target, and when.
 ///
-/// - Every `Assignment` is given back by `finish`; every `Ticket` ends once, by `ResolvedTicket` from
-///   `finish`, `expire`, `report` or `set_targets`, or by `cancel`.
+/// - Every `Assignment` is returned through `finish`. Every `Ticket` ends once: as a
+///   `ResolvedTicket` from `finish`, `expire`, `report` or `set_targets`, or through `cancel`.
 /// - Draining and excluded targets are never assigned.
-/// - When all serving targets look bad, the evidence is ignored rather than serving nobody.
-/// - Memory is bounded by the number of targets, the queue's limit and requests in flight.
+/// - When all serving targets seem unhealthy, the evidence is ignored so that requests are still
+///   served.
+/// - Memory is bounded by the number of targets, the limit of the queue and the requests in flight.
 #[derive(Debug)]
 pub struct Pool {
     config: PoolConfig,
     targets: Vec<Target>,
-    attempts: BTreeMap<AttemptId, Running>,
+    attempts: BTreeMap<AttemptId, RunningAttempt>,
     queue: WaitQueue,
-    chooser: Chooser,
+    selector: Selector,
     hedges: ShareBudget,
     retries: ShareBudget,
     latencies: LatencyHistogram,
     limit: ConcurrencyLimit,
-    /// Since when requests have waited without a break.
-    waiting_since: Option<Mono>,
-    mean_us: f64,
-    view: PoolView,
-    answers_since_view: u32,
-    /// Tickets that ended outside a call that returns them.
-    ended: Vec<ResolvedTicket>,
+    /// Time since which the queue has not been empty.
+    backlog_started_at: Option<Mono>,
+    mean_latency_us: f64,
+    stats: PoolStats,
+    answers_since_update: u32,
+    /// Tickets that were resolved outside a call that returns them.
+    resolved: Vec<ResolvedTicket>,
     last_id: u64,
 }
 
 impl Pool {
-    /// A pool without targets. The seed makes choices repeatable.
+    /// Creates a pool without targets. The same seed gives the same choices.
     pub fn new(config: PoolConfig, seed: u64) -> Self {
         Self {
             targets: Vec::new(),
             attempts: BTreeMap::new(),
             queue: WaitQueue::default(),
-            chooser: Chooser::new(config.policy, SmallRng::seed_from_u64(seed)),
+            selector: Selector::new(config.policy, SmallRng::seed_from_u64(seed)),
             hedges: ShareBudget::new(config.hedge_share, config.hedge_burst),
             retries: ShareBudget::new(config.retry_share, config.retry_burst),
             latencies: LatencyHistogram::new(),
             limit: ConcurrencyLimit::new(),
-            waiting_since: None,
-            mean_us: PoolView::guess().median_us,
-            view: PoolView::guess(),
-            answers_since_view: 0,
-            ended: Vec::new(),
+            backlog_started_at: None,
+            mean_latency_us: PoolStats::initial().median_us,
+            stats: PoolStats::initial(),
+            answers_since_update: 0,
+            resolved: Vec::new(),
             last_id: 0,
             config,
         }
     }
 
-    /// Takes the list of targets. What is known of those that stay is kept; targets that appear
-    /// later than the first list ramp up, as they may be cold.
+    /// Replaces the list of targets. The state of targets that stay is kept; targets that are added
+    /// after the first list ramp up, as they may be cold.
     pub fn set_targets(&mut self, published: &[PoolTarget], now: Mono) -> Vec<ResolvedTicket> {
-        let cold = Ramp { from: now, kind: RampKind::Cold };
-        let ramp = (!self.targets.is_empty()).then_some(cold);
-        let mut known = std::mem::take(&mut self.targets);
+        let cold_ramp = Ramp { from: now, kind: RampKind::Cold };
+        let ramp = (!self.targets.is_empty()).then_some(cold_ramp);
+        let mut known_targets = std::mem::take(&mut self.targets);
         for target in self.subset(published) {
-            let place = known.iter().position(|old| old.published.id == target.id);
-            let kept = place.map(|place| known.swap_remove(place));
-            let kept = kept.map(|old| old.with_published(target.clone(), now));
-            let fresh = || Target::new(target.clone(), self.started_at(&target.id), ramp);
-            let next = kept.unwrap_or_else(fresh);
+            let position =
+                known_targets.iter().position(|existing| existing.published.id == target.id);
+            let kept = position.map(|position| known_targets.swap_remove(position));
+            let kept = kept.map(|existing| existing.with_published(target.clone(), now));
+            let create = || Target::new(target.clone(), self.attempts_to(&target.id), ramp);
+            let next = kept.unwrap_or_else(create);
             self.targets.push(next);
         }
-        self.limit.set_max(self.gates());
-        self.end_those_without_target(now);
-        self.wake(now)
+        self.limit.set_max(self.total_target_limit());
+        self.shed_without_target(now);
+        self.resolve_waiting(now)
     }
 
-    /// Decides about a request that was not sent before.
-    pub fn admit(&mut self, ask: PoolRequest, now: Mono) -> Admission {
-        self.hedges.first_attempt();
-        self.retries.first_attempt();
-        self.place(ask, now)
+    /// Admits, queues or sheds a request that was not sent before.
+    pub fn admit(&mut self, request: PoolRequest, now: Mono) -> Admission {
+        self.hedges.record_first_attempt();
+        self.retries.record_first_attempt();
+        self.admit_or_queue(request, now)
     }
 
-    /// Decides about a request whose attempt failed and may safely be sent again. Exclude the
-    /// targets that it was sent to.
-    pub fn retry(&mut self, ask: PoolRequest, now: Mono) -> Admission {
-        if !self.retries.take() {
+    /// Admits, queues or sheds a request whose attempt failed and which may safely be sent again.
+    /// `request` should exclude the targets that it was already sent to.
+    pub fn retry(&mut self, request: PoolRequest, now: Mono) -> Admission {
+        if !self.retries.try_take() {
             return Admission::Shed(self.shed(ShedReason::RetryBudget, 0));
         }
-        self.place(ask, now)
+        self.admit_or_queue(request, now)
     }
 
-    /// How long after sending an idempotent request is worth a second attempt; `None` while too
-    /// few latencies are known.
+    /// Returns the delay after which an idempotent request is worth a hedge; `None` while too few
+    /// latencies are known.
     pub fn hedge_delay(&self) -> Option<Duration> {
         self.latencies.quantile(self.config.hedge_quantile)
     }
 
-    /// A second target for a request in flight, if the budget and the gates allow one now. The
-    /// caller ensures that the request is idempotent.
-    pub fn hedge(&mut self, attempt: AttemptId, ask: PoolRequest, now: Mono) -> Option<Assignment> {
-        let mut ask = ask;
-        ask.exclude.push(self.attempts.get(&attempt)?.target.clone());
-        if !self.hedges.has_room() || !self.queue.is_empty() || ask.deadline <= now {
+    /// Assigns a second target to a request in flight, if the budget and the concurrency limits
+    /// allow it now. The calling code ensures that the request is idempotent.
+    pub fn hedge(
+        &mut self,
+        attempt: AttemptId,
+        request: PoolRequest,
+        now: Mono,
+    ) -> Option<Assignment> {
+        let mut request = request;
+        request.exclude.push(self.attempts.get(&attempt)?.target.clone());
+        if !self.hedges.has_room() || !self.queue.is_empty() || request.deadline <= now {
             return None;
         }
-        let mut candidates = self.candidates(&ask, now);
-        candidates.retain(|candidate| self.is_free(&self.targets[candidate.index], now));
-        let chosen = self.chooser.choose(&candidates)?;
-        self.hedges.take();
-        Some(self.start(chosen, now))
+        let mut candidates = self.candidates(&request, now);
+        candidates.retain(|candidate| self.has_free_slot(&self.targets[candidate.index], now));
+        let selected = self.selector.select(&candidates)?;
+        self.hedges.try_take();
+        Some(self.start(selected, now))
     }
 
-    /// Takes an attempt back, learns from its outcome and from the load report that came with the
-    /// answer, and gives its place to waiting requests. The report does not count the request that
+    /// Ends an attempt, records its outcome and the load report that came with the answer, and
+    /// assigns the freed capacity to waiting requests. The report does not count the request that
     /// it came with.
     pub fn finish(
         &mut self,
@@ -150,67 +157,69 @@
         report: Option<LoadReport>,
         now: Mono,
     ) -> Vec<ResolvedTicket> {
-        let Some(running) = self.attempts.remove(&attempt) else { return self.take_ended() };
+        let Some(running) = self.attempts.remove(&attempt) else { return self.take_resolved() };
         if let Some(target) = self.find(&running.target) {
-            target.end(attempt, running.started);
+            target.end(attempt, running.started_at);
         }
         if let Some(report) = report {
             self.report(&running.target, report, now);
         }
-        self.learn(&running, outcome, now);
-        self.wake(now)
+        self.record_outcome(&running, outcome, now);
+        self.resolve_waiting(now)
     }
 
-    /// Gives up a place in the queue; whether the ticket was still waiting. If not, its `ResolvedTicket`
-    /// is already on its way.
+    /// Removes a waiting request from the queue. Returns false if its ticket was already resolved;
+    /// the calling code then receives its `ResolvedTicket`.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         self.queue.remove(ticket).is_some()
     }
 
-    /// Takes a target's account of its load that came with no request's answer, as from a probe.
+    /// Records a load report of a target that did not come with an answer to a request, such as one
+    /// from a probe.
     pub fn report(&mut self, target: &TargetId, report: LoadReport, now: Mono) {
         let found = self.targets.iter_mut().find(|known| known.published.id == *target);
         let Some(target) = found else { return };
-        if let Some(others) = target.report(report, now, &self.config.target) {
-            let usual = &mut self.view.others_per_slot;
-            *usual += (others - *usual) * OTHERS_WEIGHT;
+        if let Some(others_per_slot) = target.record_report(report, now, &self.config.target) {
+            let mean = &mut self.stats.others_per_slot;
+            *mean += (others_per_slot - *mean) * OTHERS_WEIGHT;
         }
         if report.draining {
-            self.end_those_without_target(now);
+            self.shed_without_target(now);
         }
     }
 
-    /// Ends waiting requests whose deadline has passed, and uses targets whose time has come.
+    /// Sheds waiting requests whose deadline has passed, and assigns requests to targets that have
+    /// become available.
     pub fn expire(&mut self, now: Mono) -> Vec<ResolvedTicket> {
         while let Some(ticket) = self.queue.pop_expired(now) {
-            self.end(ticket, ShedReason::DeadlinePassed);
+            self.shed_ticket(ticket, ShedReason::DeadlinePassed);
         }
-        self.end_those_without_target(now);
-        self.wake(now)
+        self.shed_without_target(now);
+        self.resolve_waiting(now)
     }
 
-    /// When to call `expire` next; `None` while nothing waits.
+    /// Returns when to call `expire` next; `None` while no request waits.
     pub fn next_expiry(&self) -> Option<Mono> {
-        if !self.ended.is_empty() {
+        if !self.resolved.is_empty() {
             return Some(Mono::ZERO);
         }
         let deadline = self.queue.earliest_deadline()?;
-        let returning = self.targets.iter().filter_map(Target::ejected_until).min();
-        Some(returning.map_or(deadline, |at| at.min(deadline)))
+        let next_return = self.targets.iter().filter_map(Target::ejected_until).min();
+        Some(next_return.map_or(deadline, |at| at.min(deadline)))
     }
 
-    /// Requests waiting here.
+    /// Returns the number of requests waiting here.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Attempts in flight.
+    /// Returns the number of attempts in flight.
     pub fn running(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Use of the serving targets' slots as far as this process can tell; over 1000 when
-    /// requests wait. `None` without serving targets.
+    /// Returns the utilisation of the slots of serving targets, as far as this process knows; over
+    /// 1000 when requests wait. `None` without serving targets.
     pub fn load(&self, now: Mono) -> Option<Permille> {
         let serving = || self.targets.iter().filter(|target| target.is_serving());
         let slots: u32 = serving().map(|target| target.published.slots).sum();
@@ -218,29 +227,30 @@
             return None;
         }
         let config = &self.config.target;
-        let used = serving().map(|t| f64::from(t.running()) + t.others(now, &self.view, config));
+        let used = serving()
+            .map(|t| f64::from(t.running()) + t.others_in_flight(now, &self.stats, config));
         let wanted = used.sum::<f64>() + self.queue.len() as f64;
         Some(Permille::new((wanted / f64::from(slots) * 1000.0) as u32))
     }
 
-    /// What was asked for so far, for operators.
+    /// Returns the numbers of attempts requested so far, for operators.
     pub fn counts(&self) -> PoolCounts {
         PoolCounts {
-            first_attempts: self.retries.firsts(),
-            retries: self.retries.taken(),
-            hedges: self.hedges.taken(),
+            first_attempts: self.retries.first_attempts(),
+            retries: self.retries.extra_attempts(),
+            hedges: self.hedges.extra_attempts(),
         }
     }
 
-    /// What is thought of each target, for operators.
+    /// Returns the state of each target, for operators.
     pub fn status(&self, now: Mono) -> Vec<TargetStatus> {
         self.targets.iter().map(|target| target.status(now)).collect()
     }
 
-    /// Attempts in flight to a target that left the list and came back.
-    fn started_at(&self, target: &TargetId) -> BTreeSet<(Mono, AttemptId)> {
+    /// Returns the attempts in flight to a target that was removed from the list and added again.
+    fn attempts_to(&self, target: &TargetId) -> BTreeSet<(Mono, AttemptId)> {
         let running = self.attempts.iter().filter(|(_, running)| running.target == *target);
-        running.map(|(attempt, running)| (running.started, *attempt)).collect()
+        running.map(|(attempt, running)| (running.started_at, *attempt)).collect()
     }
 
     fn find(&mut self, id: &TargetId) -> Option<&mut Target> {
--- a/crates/balance/src/pool/waiting.rs
+++ b/crates/balance/src/pool/waiting.rs
@@ -1,4 +1,4 @@
-//! Admission, the queue and its order.
+//! Admits requests and assigns queued ones to targets.
 
 use std::time::Duration;
 
@@ -7,141 +7,154 @@
 use super::Pool;
 use crate::{Admission, PoolRequest, Resolution, ResolvedTicket, Shed, ShedReason, Ticket};
 
-/// Bounds of the advice when to come back.
+/// Bounds of the time after which a caller is asked to come back.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(20);
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(10);
-/// Share of attempts that must be expected to end in time for one to be worth sending.
+/// Latency quantile by which an attempt must be expected to end before its deadline to be worth
+/// sending.
 const LIKELY_QUANTILE: f64 = 0.9;
-/// Waiting requests that are tried when a target gets room; more could only differ in exclusions.
-const WAKE_SCAN_MAX: usize = 32;
+/// Number of waiting requests that are tried when a target gets room; further ones could only
+/// differ in excluded targets.
+const ASSIGN_SCAN_MAX: usize = 32;
 
 impl Pool {
-    pub(super) fn place(&mut self, ask: PoolRequest, now: Mono) -> Admission {
-        if ask.deadline <= now {
+    pub(super) fn admit_or_queue(&mut self, request: PoolRequest, now: Mono) -> Admission {
+        if request.deadline <= now {
             return Admission::Shed(self.shed(ShedReason::DeadlinePassed, 0));
         }
-        if !self.has_target_for(&ask, now) {
+        if !self.has_target_for(&request, now) {
             return Admission::Shed(self.shed(ShedReason::NoTarget, 0));
         }
-        let ahead = self.queue.ahead_of(&ask);
+        let ahead = self.queue.count_ahead(&request);
         if ahead == 0
-            && let Some(assignment) = self.assign(&ask, now)
+            && let Some(assignment) = self.assign(&request, now)
         {
             return Admission::Send(assignment);
         }
-        self.enqueue(ask, ahead, now)
+        self.enqueue(request, ahead, now)
     }
 
-    pub(super) fn enqueue(&mut self, ask: PoolRequest, ahead: usize, now: Mono) -> Admission {
+    pub(super) fn enqueue(&mut self, request: PoolRequest, ahead: usize, now: Mono) -> Admission {
         let wait = self.expected_wait(ahead + 1);
-        let end = now.plus(wait + self.likely_latency());
-        if end > ask.deadline || self.is_standing(now) && wait > self.standing_wait(&ask, now) {
+        let expected_end = now.plus(wait + self.likely_latency());
+        if expected_end > request.deadline
+            || self.has_standing_queue(now) && wait > self.standing_wait_max(&request, now)
+        {
             return Admission::Shed(self.shed(ShedReason::DeadlineTooNear, ahead));
         }
         if self.queue.len() >= self.config.queue_max {
-            let Some(last) = self.queue.last_after(&ask) else {
+            let Some(last) = self.queue.last_after(&request) else {
                 return Admission::Shed(self.shed(ShedReason::QueueFull, ahead));
             };
             self.queue.remove(last);
-            self.end(last, ShedReason::QueueFull);
+            self.shed_ticket(last, ShedReason::QueueFull);
         }
         let ticket = Ticket(self.next_id());
-        self.queue.push(ticket, ask);
-        self.waiting_since.get_or_insert(now);
+        self.queue.push(ticket, request);
+        self.backlog_started_at.get_or_insert(now);
         Admission::Queued(ticket)
     }
 
-    /// Little's law: with the gates full, an attempt ends every (mean latency / in flight).
-    pub(super) fn expected_wait(&self, place: usize) -> Duration {
+    /// Estimates the wait at a position in the queue by Little's law: while the concurrency limits
+    /// are reached, an attempt ends every (mean latency / in flight).
+    pub(super) fn expected_wait(&self, position: usize) -> Duration {
         let in_flight = self.attempts.len().max(1) as f64;
-        Duration::from_micros((self.mean_us * place as f64 / in_flight) as u64)
+        Duration::from_micros((self.mean_latency_us * position as f64 / in_flight) as u64)
     }
 
-    /// Whether requests have waited for so long that the cause is no burst. A queue that stands
-    /// serves no more requests than a short one, but makes each of them late.
-    pub(super) fn is_standing(&self, now: Mono) -> bool {
-        let since = self.waiting_since.unwrap_or(now);
-        now.since(since) > self.config.standing_after
+    /// Returns whether requests have waited for so long that the cause is not a burst. A standing
+    /// queue serves no more requests than a short one, but makes each of them late.
+    pub(super) fn has_standing_queue(&self, now: Mono) -> bool {
+        let started_at = self.backlog_started_at.unwrap_or(now);
+        now.since(started_at) > self.config.standing_after
     }
 
-    pub(super) fn standing_wait(&self, ask: &PoolRequest, now: Mono) -> Duration {
-        ask.deadline.since(now).mul_f64(self.config.standing_wait_share)
+    pub(super) fn standing_wait_max(&self, request: &PoolRequest, now: Mono) -> Duration {
+        request.deadline.since(now).mul_f64(self.config.standing_wait_share)
     }
 
-    /// Time within which most attempts end.
+    /// Returns the time within which most attempts end.
     pub(super) fn likely_latency(&self) -> Duration {
         self.latencies.quantile(LIKELY_QUANTILE).unwrap_or_else(|| self.usual_latency())
     }
 
     pub(super) fn usual_latency(&self) -> Duration {
-        Duration::from_micros(self.view.median_us as u64)
+        Duration::from_micros(self.stats.median_us as u64)
     }
 
     pub(super) fn shed(&self, reason: ShedReason, ahead: usize) -> Shed {
-        let drained = self.expected_wait(ahead + 1);
-        Shed { retry_after: drained.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX), reason }
+        let wait = self.expected_wait(ahead + 1);
+        Shed { retry_after: wait.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX), reason }
     }
 
-    pub(super) fn end(&mut self, ticket: Ticket, reason: ShedReason) {
+    pub(super) fn shed_ticket(&mut self, ticket: Ticket, reason: ShedReason) {
         let shed = self.shed(reason, self.queue.len());
-        self.ended.push(ResolvedTicket { ticket, resolution: Resolution::Shed(shed) });
+        self.resolved.push(ResolvedTicket { ticket, resolution: Resolution::Shed(shed) });
     }
 
-    pub(super) fn take_ended(&mut self) -> Vec<ResolvedTicket> {
-        std::mem::take(&mut self.ended)
+    pub(super) fn take_resolved(&mut self) -> Vec<ResolvedTicket> {
+        std::mem::take(&mut self.resolved)
     }
 
-    /// Assigns waiting requests in order while targets have room.
-    pub(super) fn wake(&mut self, now: Mono) -> Vec<ResolvedTicket> {
-        let mut woken = self.take_ended();
-        let first: Vec<Ticket> =
-            self.queue.iter().take(WAKE_SCAN_MAX).map(|(ticket, _)| ticket).collect();
-        for ticket in first {
-            let Some(ask) = self.queue.remove(ticket) else { continue };
-            if let Some(reason) = self.too_late(&ask, now) {
+    /// Assigns waiting requests in order of service while targets have room; returns the resolved
+    /// tickets.
+    pub(super) fn resolve_waiting(&mut self, now: Mono) -> Vec<ResolvedTicket> {
+        let mut resolved = self.take_resolved();
+        let candidates: Vec<Ticket> =
+            self.queue.iter().take(ASSIGN_SCAN_MAX).map(|(ticket, _)| ticket).collect();
+        for ticket in candidates {
+            let Some(request) = self.queue.remove(ticket) else { continue };
+            if let Some(reason) = self.deadline_shed_reason(&request, now) {
                 let shed = self.shed(reason, 0);
-                woken.push(ResolvedTicket { ticket, resolution: Resolution::Shed(shed) });
+                resolved.push(ResolvedTicket { ticket, resolution: Resolution::Shed(shed) });
                 continue;
             }
-            match self.assign(&ask, now) {
+            match self.assign(&request, now) {
                 Some(assignment) => {
-                    woken.push(ResolvedTicket { ticket, resolution: Resolution::Send(assignment) });
+                    resolved
+                        .push(ResolvedTicket { ticket, resolution: Resolution::Send(assignment) });
                 }
                 None => {
-                    let any_target_would_do = ask.exclude.is_empty();
-                    self.queue.push(ticket, ask);
-                    if any_target_would_do {
+                    let has_no_exclusions = request.exclude.is_empty();
+                    self.queue.push(ticket, request);
+                    if has_no_exclusions {
                         break;
                     }
                 }
             }
         }
         if self.queue.is_empty() {
-            self.waiting_since = None;
+            self.backlog_started_at = None;
         }
-        woken
+        resolved
     }
 
-    /// Why a request that gets its turn is not worth sending. One sent with less time left than
-    /// most attempts need takes a slot, times out, and costs its connection too.
-    pub(super) fn too_late(&self, ask: &PoolRequest, now: Mono) -> Option<ShedReason> {
-        if ask.deadline <= now {
+    /// Returns the reason for shedding a request whose deadline is too near when its turn comes. If
+    /// sent with less time left than most attempts need, it takes a slot, times out, and costs its
+    /// connection too.
+    pub(super) fn deadline_shed_reason(
+        &self,
+        request: &PoolRequest,
+        now: Mono,
+    ) -> Option<ShedReason> {
+        if request.deadline <= now {
             return Some(ShedReason::DeadlinePassed);
         }
-        let too_near = now.plus(self.likely_latency()) > ask.deadline;
+        let too_near = now.plus(self.likely_latency()) > request.deadline;
         too_near.then_some(ShedReason::DeadlineTooNear)
     }
 
-    pub(super) fn end_those_without_target(&mut self, now: Mono) {
-        let lost = self.queue.iter().filter(|(_, ask)| !self.has_target_for(ask, now));
-        let lost: Vec<Ticket> = lost.map(|(ticket, _)| ticket).collect();
-        for ticket in lost {
+    pub(super) fn shed_without_target(&mut self, now: Mono) {
+        let unservable =
+            self.queue.iter().filter(|(_, request)| !self.has_target_for(request, now));
+        let unservable: Vec<Ticket> = unservable.map(|(ticket, _)| ticket).collect();
+        for ticket in unservable {
             self.queue.remove(ticket);
-            self.end(ticket, ShedReason::NoTarget);
+            self.shed_ticket(ticket, ShedReason::NoTarget);
         }
     }
 
-    pub(super) fn has_target_for(&self, ask: &PoolRequest, now: Mono) -> bool {
-        self.serving_for(ask, now).next().is_some()
+    pub(super) fn has_target_for(&self, request: &PoolRequest, now: Mono) -> bool {
+        self.eligible_targets(request, now).next().is_some()
     }
 }
--- a/crates/balance/src/pool_config.rs
+++ b/crates/balance/src/pool_config.rs
@@ -9,34 +9,35 @@
 /// Settings of a pool.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PoolConfig {
-    /// How a target is chosen.
+    /// Policy for selecting a target.
     pub policy: Policy,
-    /// Whether requests wait here for a target with room; otherwise they are sent at once and
-    /// wait at the target.
+    /// Whether the requests in flight are limited, so that others wait here for a target with room.
+    /// Otherwise, requests are sent at once and wait at the target.
     pub concurrency_limited: bool,
-    /// Requests that may wait here; more are shed; default 512.
+    /// Maximum number of requests that wait here; more are shed; default 512.
     pub queue_max: usize,
-    /// When requests have waited without a break for this long, the queue no longer absorbs a
-    /// burst but adds its length to every latency; default 300 ms.
+    /// Time after which a queue that never emptied counts as standing: it no longer absorbs a burst
+    /// but adds its length to every latency; default 300 ms.
     pub standing_after: Duration,
-    /// The longest expected wait in such a queue, as a part of the time to the deadline; default a
+    /// Longest expected wait in a standing queue, as a share of the time to the deadline; default a
     /// third.
     pub standing_wait_share: f64,
     /// Hedges as a share of first attempts; default 25‰.
     pub hedge_share: Permille,
-    /// Hedges that may be saved up; default 5.
+    /// Unused hedges that can accumulate; default 5.
     pub hedge_burst: u32,
-    /// A request is hedged when it takes longer than this share of recent ones; default 0.95.
+    /// Latency quantile after which a request is hedged; default 0.95.
     pub hedge_quantile: f64,
     /// Retries as a share of first attempts; default 20‰.
     pub retry_share: Permille,
-    /// Retries that may be saved up; default 10.
+    /// Unused retries that can accumulate; default 10.
     pub retry_burst: u32,
-    /// With more targets, this process uses a subset of this size; default 64.
+    /// Maximum number of targets that this process uses; with more targets it uses a subset of this
+    /// size; default 64.
     pub subset_max: usize,
-    /// Whose subset it is; different names get different subsets.
+    /// VM for which the subset is computed; different VMs get different subsets.
     pub subset_vm: Option<VmId>,
-    /// How evidence about targets is weighed.
+    /// Settings for assessing targets.
     pub target: TargetConfig,
 }
 
@@ -61,7 +62,8 @@
 }
 
 impl PoolConfig {
-    /// A policy alone, to compare with: no gate, no queue, no hedges.
+    /// Returns settings for a policy alone, as a baseline for comparison: no concurrency limit, no
+    /// queue, no hedges.
     pub fn baseline(policy: Policy) -> Self {
         let hedge_share = Permille::new(0);
         Self { policy, concurrency_limited: false, hedge_share, hedge_burst: 0, ..Self::default() }
--- a/crates/balance/src/queue.rs
+++ b/crates/balance/src/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a target with room.
+//! Queue of requests that wait for a target with room.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,13 +7,14 @@
 
 use crate::{PoolRequest, Priority, Ticket};
 
-/// Order of service: the most urgent first, then the earliest deadline, then the first to come.
-type Order = (Reverse<Priority>, Mono, Ticket);
+/// Order of service: the highest priority first, then the earliest deadline, then the earliest
+/// arrival.
+type QueueKey = (Reverse<Priority>, Mono, Ticket);
 
 #[derive(Debug, Default)]
 pub(crate) struct WaitQueue {
-    waiting: BTreeMap<Order, PoolRequest>,
-    orders: BTreeMap<Ticket, Order>,
+    waiting: BTreeMap<QueueKey, PoolRequest>,
+    keys: BTreeMap<Ticket, QueueKey>,
     deadlines: BTreeSet<(Mono, Ticket)>,
 }
 
@@ -26,34 +27,34 @@
         self.waiting.is_empty()
     }
 
-    pub(crate) fn push(&mut self, ticket: Ticket, ask: PoolRequest) {
-        let order = order(ticket, &ask);
-        self.deadlines.insert((ask.deadline, ticket));
-        self.orders.insert(ticket, order);
-        self.waiting.insert(order, ask);
+    pub(crate) fn push(&mut self, ticket: Ticket, request: PoolRequest) {
+        let key = queue_key(ticket, &request);
+        self.deadlines.insert((request.deadline, ticket));
+        self.keys.insert(ticket, key);
+        self.waiting.insert(key, request);
     }
 
     pub(crate) fn remove(&mut self, ticket: Ticket) -> Option<PoolRequest> {
-        let order = self.orders.remove(&ticket)?;
-        let ask = self.waiting.remove(&order)?;
-        self.deadlines.remove(&(ask.deadline, ticket));
-        Some(ask)
+        let key = self.keys.remove(&ticket)?;
+        let request = self.waiting.remove(&key)?;
+        self.deadlines.remove(&(request.deadline, ticket));
+        Some(request)
     }
 
-    /// How many would be served before this ask.
-    pub(crate) fn ahead_of(&self, ask: &PoolRequest) -> usize {
-        self.waiting.range(..order(Ticket(u64::MAX), ask)).count()
+    /// Returns the number of requests that are served before this one.
+    pub(crate) fn count_ahead(&self, request: &PoolRequest) -> usize {
+        self.waiting.range(..queue_key(Ticket(u64::MAX), request)).count()
     }
 
-    /// The last in order of service, if it comes after this ask.
-    pub(crate) fn last_after(&self, ask: &PoolRequest) -> Option<Ticket> {
+    /// Returns the last request in order of service, if it is served after this one.
+    pub(crate) fn last_after(&self, request: &PoolRequest) -> Option<Ticket> {
         let (last, _) = self.waiting.last_key_value()?;
-        (*last > order(Ticket(u64::MAX), ask)).then_some(last.2)
+        (*last > queue_key(Ticket(u64::MAX), request)).then_some(last.2)
     }
 
-    /// In order of service.
+    /// Iterates over the queue in order of service.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (Ticket, &PoolRequest)> {
-        self.waiting.iter().map(|(order, ask)| (order.2, ask))
+        self.waiting.iter().map(|(key, request)| (key.2, request))
     }
 
     pub(crate) fn earliest_deadline(&self) -> Option<Mono> {
@@ -71,6 +72,6 @@
     }
 }
 
-fn order(ticket: Ticket, ask: &PoolRequest) -> Order {
-    (Reverse(ask.priority), ask.deadline, ticket)
+fn queue_key(ticket: Ticket, request: &PoolRequest) -> QueueKey {
+    (Reverse(request.priority), request.deadline, ticket)
 }
--- a/crates/balance/src/request.rs
+++ b/crates/balance/src/request.rs
@@ -1,38 +1,38 @@
-//! What a request asks of the pool.
+//! Input for admitting one request to a pool.
 
 use shallotfork_types::{FailureDomain, Mono, TargetId};
 
-/// How urgent a request is; under overload higher ones are served first.
+/// Urgency of a request; under overload, higher priorities are served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Priority(u8);
 
 impl Priority {
-    /// Wraps a number; higher is more urgent.
+    /// Creates a priority; higher values are more urgent.
     pub const fn new(value: u8) -> Self {
         Self(value)
     }
 
-    /// The number itself.
+    /// Returns the numeric value.
     pub const fn value(self) -> u8 {
         self.0
     }
 }
 
-/// One request's wish for a target.
+/// An admission request to a pool.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PoolRequest {
-    /// How urgent the request is.
+    /// The priority of the request.
     pub priority: Priority,
-    /// After this time nobody awaits the answer.
+    /// Time after which the caller no longer waits for the answer.
     pub deadline: Mono,
-    /// Failure domains to prefer, best first; empty when all are equal.
+    /// Preferred failure domains, best first; empty when all are equal.
     pub preferred_domains: Vec<FailureDomain>,
-    /// Targets that must not be chosen, such as those that the request was already sent to.
+    /// Targets that must not be selected, such as those that the request was already sent to.
     pub exclude: Vec<TargetId>,
 }
 
 impl PoolRequest {
-    /// An ask of the lowest priority without preference.
+    /// Creates a request of the lowest priority without preferred domains.
     pub fn new(deadline: Mono) -> Self {
         Self {
             priority: Priority::default(),
@@ -49,14 +49,14 @@
         self
     }
 
-    /// Sets the failure domains to prefer, best first.
+    /// Sets the preferred failure domains, best first.
     #[must_use]
     pub fn with_preferred_domains(mut self, preferred_domains: Vec<FailureDomain>) -> Self {
         self.preferred_domains = preferred_domains;
         self
     }
 
-    /// Sets the targets that must not be chosen.
+    /// Sets the targets that must not be selected.
     #[must_use]
     pub fn with_exclude(mut self, exclude: Vec<TargetId>) -> Self {
         self.exclude = exclude;
--- a/crates/balance/src/target_config.rs
+++ b/crates/balance/src/target_config.rs
@@ -1,37 +1,39 @@
-//! How evidence about a target is weighed.
+//! Settings for assessing the state of targets.
 
 use std::time::Duration;
 
-/// Settings for judging targets.
+/// Settings for assessing targets.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetConfig {
-    /// Requests beyond the target's slots that may be in flight to it from this process. They
-    /// hide the time between an answer and the next request, and wait at the target; default 1.
+    /// Requests beyond the slots of a target that may be in flight to it from this process. They
+    /// wait at the target and hide the time between an answer and the next request; default 1.
     pub extra_concurrency: u32,
-    /// Requests that may be in flight from this process to a target that is another's home;
+    /// Requests that may be in flight from this process to a target that is not its home target;
     /// default 1.
     pub non_home_concurrency: u32,
-    /// Age at which a load report counts for a third; default 2 s.
+    /// Age at which the weight of a load report has fallen to a third; default 2 s.
     pub report_decay: Duration,
-    /// A target counts as slow from this multiple of the pool's median latency; default 2.
+    /// Multiple of the median latency of the pool from which a target counts as slow; default 2.
     pub slow_factor: f64,
-    /// Failures in a row after which a target is left out for a while; default 3.
+    /// Consecutive failures after which a target is ejected; default 3.
     pub failures_max: u32,
-    /// How long a target is left out at first; it doubles each time; default 200 ms.
+    /// Duration of the first ejection; it doubles with each further one; default 200 ms.
     pub ejection_first: Duration,
-    /// How long a target is left out at most; default 10 s.
+    /// Maximum duration of an ejection; default 10 s.
     pub ejection_max: Duration,
-    /// How long a new target takes to get its whole share, as it may be cold; default 5 s.
+    /// Time over which a new target ramps up to its full share, as it may be cold; default 5 s.
     pub cold_ramp: Duration,
-    /// How long a target that was left out for failures takes to get its whole share; default 1 s.
+    /// Time over which a target ramps up to its full share after an ejection; default 1 s.
     pub return_ramp: Duration,
-    /// Time after which half of the evidence that a target is slow is forgotten, so that it is
-    /// tried again; default 2 s.
-    pub slowness_half_life: Duration,
-    /// How long a target that said it is leaving gets nothing; default 30 s. It may have changed
-    /// its mind, or another server may have taken its address, and nothing else would tell.
+    /// Half-life of the evidence that a target is slow, after which the target is tried again;
+    /// default 2 s.
+    pub slowdown_half_life: Duration,
+    /// Time for which a target that reported draining gets no requests; default 30 s. The target
+    /// may have stopped draining, or another server may have taken over its address, and nothing
+    /// else would show it.
     pub drain_report_ttl: Duration,
-    /// Added expected time for a target outside the preferred failure domains; default 1 ms.
+    /// Expected time added for each rank of a failure domain in the order of preference; default 1
+    /// ms.
     pub far_domain_cost: Duration,
 }
 
@@ -47,7 +49,7 @@
             ejection_max: Duration::from_secs(10),
             cold_ramp: Duration::from_secs(5),
             return_ramp: Duration::from_secs(1),
-            slowness_half_life: Duration::from_secs(2),
+            slowdown_half_life: Duration::from_secs(2),
             drain_report_ttl: Duration::from_secs(30),
             far_domain_cost: Duration::from_millis(1),
         }
