--- a/crates/balance/examples/policy_trial.rs
+++ b/crates/balance/examples/policy_trial.rs
@@ -1,10 +1,12 @@
-//! A focused experiment of the pure decision: pools of several entries drive targets with two
-//! slots in virtual time. It is no model of a cluster: no connections, no failures of entries, no
-//! platform. It compares policies with a central queue that knows everything.
+//! Compares target selection policies with a central queue that has complete information.
+//!
+//! Pools of several entries send requests to targets with two slots in virtual time. Only the
+//! decisions are simulated: there are no connections, no failures of entries, and no platform.
 //!
 //! `cargo run --release -p shallotfork-balance --example policy_trial -- [--loads 850,1200]
-//! [--entries 3,14] [--targets 20] [--spread 0] [--straggler 10] [--noise] [--stale-ms 0] [--requests 100000] [--only-ours]
-//! [--gate-extra 1] [--gate-away 1] [--fade-ms 2000] [--slow-factor 2] [--seed 1]`
+//! [--entries 3,14] [--targets 20] [--spread 0] [--straggler 10] [--noise] [--stale-ms 0]
+//! [--requests 100000] [--only-ours] [--gate-extra 1] [--gate-away 1] [--fade-ms 2000]
+//! [--slow-factor 2] [--seed 1]`
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -35,7 +37,7 @@
     noise: bool,
     targets: usize,
     stale_us: u64,
-    /// Logarithmic spread of the work of requests; zero means exponential.
+    /// Logarithmic spread of the service times of requests; zero means exponential.
     spread: f64,
     requests: usize,
     seed: u64,
@@ -44,27 +46,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive { request: usize },
-    Reach { work: usize },
-    End { work: usize },
-    Answer { work: usize, reported: u32 },
-    GiveUp { work: usize },
+    ReachTarget { attempt: usize },
+    FinishWork { attempt: usize },
+    ReceiveAnswer { attempt: usize, reported: u32 },
+    CancelAtTarget { attempt: usize },
     HedgeDue { request: usize },
     Deadline { request: usize },
     Expire { entry: usize },
-    Noise { target: usize, on: bool },
+    ToggleNoise { target: usize, on: bool },
 }
 
 struct Request {
     arrived_us: u64,
-    demand_us: f64,
+    service_time_us: f64,
     entry: usize,
     attempts: Vec<usize>,
     done: bool,
 }
 
-struct Work {
+struct Attempt {
     request: usize,
-    attempt: AttemptId,
+    id: AttemptId,
     target: usize,
     sent_us: u64,
     hedge: bool,
@@ -73,25 +75,25 @@
 }
 
 #[derive(Default)]
-struct Server {
+struct SimulatedTarget {
     running: u32,
     queue: VecDeque<usize>,
     noisy: bool,
-    /// Requests here after each change, newest last.
+    /// Requests at the target after each change, newest last.
     history: VecDeque<(u64, u32)>,
 }
 
-impl Server {
+impl SimulatedTarget {
     fn in_flight(&self) -> u32 {
         self.running + self.queue.len() as u32
     }
 
-    fn note(&mut self, now_us: u64) {
+    fn record_change(&mut self, now_us: u64) {
         self.history.push_back((now_us, self.in_flight()));
     }
 
-    /// How many were here `stale_us` ago.
-    fn report(&mut self, now_us: u64, stale_us: u64) -> u32 {
+    /// Returns the number of requests at the target `stale_us` ago.
+    fn delayed_in_flight(&mut self, now_us: u64, stale_us: u64) -> u32 {
         let then_us = now_us.saturating_sub(stale_us);
         while self.history.get(1).is_some_and(|(at_us, _)| *at_us <= then_us) {
             self.history.pop_front();
@@ -104,12 +106,12 @@
 struct Results {
     latencies_us: Vec<u64>,
     shed: usize,
-    late: usize,
+    timed_out: usize,
     hedges: usize,
     first_attempts: usize,
     straggler: usize,
-    /// Answers in time that came before the last arrival.
-    good: usize,
+    /// Answers in time that arrived before the last request did.
+    in_time: usize,
     ended_us: u64,
 }
 
@@ -122,8 +124,8 @@
     pools: Vec<Pool>,
     tickets: Vec<BTreeMap<Ticket, usize>>,
     requests: Vec<Request>,
-    works: Vec<Work>,
-    servers: Vec<Server>,
+    attempts: Vec<Attempt>,
+    targets: Vec<SimulatedTarget>,
     results: Results,
     hedging: bool,
 }
@@ -136,8 +138,8 @@
     -mean * (1.0 - rng.random::<f64>()).ln()
 }
 
-/// Work of one request, with the same mean for every spread.
-fn demand_us(rng: &mut SmallRng, spread: f64) -> f64 {
+/// Returns a random service time of one request, with the same mean for every spread.
+fn service_time_us(rng: &mut SmallRng, spread: f64) -> f64 {
     if spread == 0.0 {
         return exponential(rng, SERVICE_MEAN_US);
     }
@@ -146,7 +148,7 @@
     SERVICE_MEAN_US * (spread * normal - spread * spread / 2.0).exp()
 }
 
-/// Arrivals and demands, the same for every policy.
+/// Generates arrivals and service times, the same for every policy.
 fn requests(scenario: &Scenario) -> Vec<Request> {
     let mut rng = SmallRng::seed_from_u64(scenario.seed);
     let capacity_per_us = scenario.targets as f64 * f64::from(SLOTS) / SERVICE_MEAN_US;
@@ -154,9 +156,15 @@
     let mut at_us = 0.0;
     let mut next = || {
         at_us += exponential(&mut rng, gap_us);
-        let demand_us = demand_us(&mut rng, scenario.spread);
+        let service_time_us = service_time_us(&mut rng, scenario.spread);
         let entry = rng.random_range(0..scenario.entries);
-        Request { arrived_us: at_us as u64, demand_us, entry, attempts: Vec::new(), done: false }
+        Request {
+            arrived_us: at_us as u64,
+            service_time_us,
+            entry,
+            attempts: Vec::new(),
+            done: false,
+        }
     };
     (0..scenario.requests).map(|_| next()).collect()
 }
@@ -196,8 +204,8 @@
             pools: pools(scenario, config),
             tickets: vec![BTreeMap::new(); scenario.entries],
             requests: requests(scenario),
-            works: Vec::new(),
-            servers: (0..scenario.targets).map(|_| Server::default()).collect(),
+            attempts: Vec::new(),
+            targets: (0..scenario.targets).map(|_| SimulatedTarget::default()).collect(),
             results: Results::default(),
             scenario: scenario.clone(),
             hedging,
@@ -206,12 +214,12 @@
 
     fn run(mut self) -> Results {
         for request in 0..self.requests.len() {
-            self.at(self.requests[request].arrived_us, Event::Arrive { request });
+            self.schedule_at(self.requests[request].arrived_us, Event::Arrive { request });
         }
         if self.scenario.noise {
             for target in 0..self.scenario.targets {
                 let wait_us = exponential_us(&mut self.rng, NOISE_QUIET_MEAN_US);
-                self.later(wait_us, Event::Noise { target, on: true });
+                self.schedule_after(wait_us, Event::ToggleNoise { target, on: true });
             }
         }
         let last_us = self.requests.last().map_or(0, |request| request.arrived_us);
@@ -222,7 +230,7 @@
                 break;
             }
             self.now_us = at_us;
-            self.step(event);
+            self.handle(event);
         }
         self.results
     }
@@ -231,63 +239,63 @@
         Mono::from_micros(self.now_us)
     }
 
-    fn at(&mut self, at_us: u64, event: Event) {
+    fn schedule_at(&mut self, at_us: u64, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((at_us, self.sequence, event)));
     }
 
-    fn later(&mut self, wait_us: u64, event: Event) {
-        self.at(self.now_us + wait_us, event);
+    fn schedule_after(&mut self, wait_us: u64, event: Event) {
+        self.schedule_at(self.now_us + wait_us, event);
     }
 
-    fn step(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive { request } => self.arrive(request),
-            Event::Reach { work } => self.reach(work),
-            Event::End { work } => self.end(work),
-            Event::Answer { work, reported } => self.answer(work, reported),
-            Event::GiveUp { work } => self.give_up(work),
+            Event::ReachTarget { attempt } => self.reach_target(attempt),
+            Event::FinishWork { attempt } => self.finish_work(attempt),
+            Event::ReceiveAnswer { attempt, reported } => self.receive_answer(attempt, reported),
+            Event::CancelAtTarget { attempt } => self.cancel_at_target(attempt),
             Event::HedgeDue { request } => self.hedge(request),
             Event::Deadline { request } => self.time_out(request),
             Event::Expire { entry } => {
                 let now = self.now();
-                let woken = self.pools[entry].expire(now);
-                self.woken(entry, woken);
+                let resolved = self.pools[entry].expire(now);
+                self.resolve(entry, resolved);
             }
-            Event::Noise { target, on } => {
-                self.servers[target].noisy = on;
+            Event::ToggleNoise { target, on } => {
+                self.targets[target].noisy = on;
                 let mean_us = if on { NOISE_MEAN_US } else { NOISE_QUIET_MEAN_US };
                 let wait_us = exponential_us(&mut self.rng, mean_us);
-                self.later(wait_us, Event::Noise { target, on: !on });
+                self.schedule_after(wait_us, Event::ToggleNoise { target, on: !on });
             }
         }
     }
 
-    fn ask(&self, request: usize) -> PoolRequest {
+    fn pool_request(&self, request: usize) -> PoolRequest {
         PoolRequest::new(Mono::from_micros(self.requests[request].arrived_us).plus(DEADLINE))
     }
 
     fn arrive(&mut self, request: usize) {
         let entry = self.requests[request].entry;
-        let (ask, now) = (self.ask(request), self.now());
-        match self.pools[entry].admit(ask, now) {
+        let (pool_request, now) = (self.pool_request(request), self.now());
+        match self.pools[entry].admit(pool_request, now) {
             Admission::Send(assignment) => self.send(request, assignment, false),
             Admission::Queued(ticket) => {
                 self.tickets[entry].insert(ticket, request);
-                self.plan_expiry(entry);
+                self.schedule_expiry(entry);
             }
             Admission::Shed(_) => self.results.shed += 1,
         }
     }
 
-    fn plan_expiry(&mut self, entry: usize) {
+    fn schedule_expiry(&mut self, entry: usize) {
         if let Some(at) = self.pools[entry].next_expiry() {
-            self.at(at.as_micros().max(self.now_us), Event::Expire { entry });
+            self.schedule_at(at.as_micros().max(self.now_us), Event::Expire { entry });
         }
     }
 
-    fn woken(&mut self, entry: usize, woken: Vec<ResolvedTicket>) {
-        for ResolvedTicket { ticket, resolution } in woken {
+    fn resolve(&mut self, entry: usize, resolved: Vec<ResolvedTicket>) {
+        for ResolvedTicket { ticket, resolution } in resolved {
             let request = self.tickets[entry].remove(&ticket).expect("a waiting ticket");
             match resolution {
                 Resolution::Send(assignment) => self.send(request, assignment, false),
@@ -299,77 +307,77 @@
     fn send(&mut self, request: usize, assignment: Assignment, hedge: bool) {
         let number = assignment.target.as_str().trim_start_matches("target-");
         let target = number.parse().expect("a number");
-        let work = self.works.len();
+        let attempt = self.attempts.len();
         self.results.straggler += usize::from(target == 0);
-        self.works.push(Work {
+        self.attempts.push(Attempt {
             request,
-            attempt: assignment.attempt,
+            id: assignment.attempt,
             target,
             sent_us: self.now_us,
             hedge,
             cancelled: false,
             ended: false,
         });
-        self.requests[request].attempts.push(work);
-        self.later(ONE_WAY_US, Event::Reach { work });
+        self.requests[request].attempts.push(attempt);
+        self.schedule_after(ONE_WAY_US, Event::ReachTarget { attempt });
         if hedge {
             self.results.hedges += 1;
             return;
         }
         self.results.first_attempts += 1;
         let deadline_us = self.requests[request].arrived_us + DEADLINE.as_micros() as u64;
-        self.at(deadline_us, Event::Deadline { request });
+        self.schedule_at(deadline_us, Event::Deadline { request });
         if self.hedging
             && let Some(delay) = self.pools[self.requests[request].entry].hedge_delay()
         {
-            self.later(delay.as_micros() as u64, Event::HedgeDue { request });
+            self.schedule_after(delay.as_micros() as u64, Event::HedgeDue { request });
         }
     }
 
-    fn reach(&mut self, work: usize) {
-        let target = self.works[work].target;
-        if self.works[work].cancelled {
+    fn reach_target(&mut self, attempt: usize) {
+        let target = self.attempts[attempt].target;
+        if self.attempts[attempt].cancelled {
             return;
         }
-        self.servers[target].queue.push_back(work);
-        self.servers[target].note(self.now_us);
+        self.targets[target].queue.push_back(attempt);
+        self.targets[target].record_change(self.now_us);
         self.start_next(target);
     }
 
     fn start_next(&mut self, target: usize) {
-        while self.servers[target].running < SLOTS {
-            let Some(work) = self.servers[target].queue.pop_front() else { return };
-            if self.works[work].cancelled {
+        while self.targets[target].running < SLOTS {
+            let Some(attempt) = self.targets[target].queue.pop_front() else { return };
+            if self.attempts[attempt].cancelled {
                 continue;
             }
-            self.servers[target].running += 1;
-            let mut demand_us = self.requests[self.works[work].request].demand_us;
+            self.targets[target].running += 1;
+            let mut service_time_us = self.requests[self.attempts[attempt].request].service_time_us;
             if target == 0 {
-                demand_us *= self.scenario.straggler;
+                service_time_us *= self.scenario.straggler;
             }
-            if self.servers[target].noisy {
-                demand_us *= NOISE_FACTOR;
+            if self.targets[target].noisy {
+                service_time_us *= NOISE_FACTOR;
             }
-            self.later(demand_us as u64, Event::End { work });
+            self.schedule_after(service_time_us as u64, Event::FinishWork { attempt });
         }
     }
 
-    fn end(&mut self, work: usize) {
-        let target = self.works[work].target;
-        if self.works[work].cancelled {
+    fn finish_work(&mut self, attempt: usize) {
+        let target = self.attempts[attempt].target;
+        if self.attempts[attempt].cancelled {
             return;
         }
-        self.works[work].ended = true;
-        let server = &mut self.servers[target];
-        server.running -= 1;
-        server.note(self.now_us);
-        let reported = server.report(self.now_us, self.scenario.stale_us);
-        self.later(ONE_WAY_US, Event::Answer { work, reported });
+        self.attempts[attempt].ended = true;
+        let simulated = &mut self.targets[target];
+        simulated.running -= 1;
+        simulated.record_change(self.now_us);
+        let reported = simulated.delayed_in_flight(self.now_us, self.scenario.stale_us);
+        self.schedule_after(ONE_WAY_US, Event::ReceiveAnswer { attempt, reported });
         self.start_next(target);
     }
 
-    fn answer(&mut self, work: usize, reported: u32) {
-        let Work { request, attempt, sent_us, cancelled, .. } = self.works[work];
+    fn receive_answer(&mut self, attempt: usize, reported: u32) {
+        let Attempt { request, id, sent_us, cancelled, .. } = self.attempts[attempt];
         if cancelled {
             return;
         }
@@ -378,58 +386,63 @@
         let report = LoadReport { in_flight: Some(reported), ..LoadReport::default() };
         let latency = Duration::from_micros(self.now_us - sent_us);
         let outcome = AttemptOutcome::Answered { latency };
-        let woken = self.pools[entry].finish(attempt, outcome, Some(report), now);
-        self.woken(entry, woken);
-        self.settle(request, work);
+        let resolved = self.pools[entry].finish(id, outcome, Some(report), now);
+        self.resolve(entry, resolved);
+        self.complete(request, attempt);
     }
 
-    /// The first answer counts; other attempts are cancelled.
-    fn settle(&mut self, request: usize, winner: usize) {
+    /// Completes the request with its first answer and cancels its other attempts.
+    fn complete(&mut self, request: usize, answered_attempt: usize) {
         if self.requests[request].done {
             return;
         }
         self.requests[request].done = true;
         let latency_us = self.now_us - self.requests[request].arrived_us;
         self.results.latencies_us.push(latency_us);
-        self.results.good += usize::from(self.now_us <= self.results.ended_us);
-        self.give_back_others(request, winner, AttemptOutcome::Cancelled);
+        self.results.in_time += usize::from(self.now_us <= self.results.ended_us);
+        self.finish_other_attempts(request, answered_attempt, AttemptOutcome::Cancelled);
     }
 
-    /// The deadline ends all attempts; nobody awaits them any more.
+    /// Ends all attempts of a request at its deadline, when its caller stops waiting.
     fn time_out(&mut self, request: usize) {
         if self.requests[request].done {
             return;
         }
         self.requests[request].done = true;
-        self.results.late += 1;
+        self.results.timed_out += 1;
         self.results.latencies_us.push(DEADLINE.as_micros() as u64);
-        self.give_back_others(request, usize::MAX, AttemptOutcome::TimedOut);
+        self.finish_other_attempts(request, usize::MAX, AttemptOutcome::TimedOut);
     }
 
-    fn give_back_others(&mut self, request: usize, winner: usize, outcome: AttemptOutcome) {
+    fn finish_other_attempts(
+        &mut self,
+        request: usize,
+        answered_attempt: usize,
+        outcome: AttemptOutcome,
+    ) {
         let entry = self.requests[request].entry;
-        for work in self.requests[request].attempts.clone() {
-            if work == winner {
+        for attempt in self.requests[request].attempts.clone() {
+            if attempt == answered_attempt {
                 continue;
             }
-            let (attempt, now) = (self.works[work].attempt, self.now());
-            let woken = self.pools[entry].finish(attempt, outcome, None, now);
-            self.woken(entry, woken);
-            self.later(ONE_WAY_US, Event::GiveUp { work });
+            let (id, now) = (self.attempts[attempt].id, self.now());
+            let resolved = self.pools[entry].finish(id, outcome, None, now);
+            self.resolve(entry, resolved);
+            self.schedule_after(ONE_WAY_US, Event::CancelAtTarget { attempt });
         }
     }
 
-    /// The target learns that nobody awaits the work.
-    fn give_up(&mut self, work: usize) {
-        let target = self.works[work].target;
-        let waiting = self.servers[target].queue.contains(&work);
-        self.servers[target].queue.retain(|queued| *queued != work);
-        if self.works[work].cancelled {
+    /// Cancels an attempt at its target, as its caller no longer waits for it.
+    fn cancel_at_target(&mut self, attempt: usize) {
+        let target = self.attempts[attempt].target;
+        let waiting = self.targets[target].queue.contains(&attempt);
+        self.targets[target].queue.retain(|queued| *queued != attempt);
+        if self.attempts[attempt].cancelled {
             return;
         }
-        self.works[work].cancelled = true;
-        if !waiting && !self.works[work].ended {
-            self.servers[target].running -= 1;
+        self.attempts[attempt].cancelled = true;
+        if !waiting && !self.attempts[attempt].ended {
+            self.targets[target].running -= 1;
             self.start_next(target);
         }
     }
@@ -439,11 +452,12 @@
             return;
         }
         let Some(first) = self.requests[request].attempts.first().copied() else { return };
-        if self.works[first].hedge {
+        if self.attempts[first].hedge {
             return;
         }
-        let (entry, ask, now) = (self.requests[request].entry, self.ask(request), self.now());
-        let assignment = self.pools[entry].hedge(self.works[first].attempt, ask, now);
+        let (entry, pool_request, now) =
+            (self.requests[request].entry, self.pool_request(request), self.now());
+        let assignment = self.pools[entry].hedge(self.attempts[first].id, pool_request, now);
         if let Some(assignment) = assignment {
             self.send(request, assignment, true);
         }
@@ -454,7 +468,8 @@
     exponential(rng, mean_us) as u64
 }
 
-/// One queue before all slots, the fastest free target first: what no partial view can beat.
+/// Simulates one queue in front of all slots that picks the slot with the earliest end; no policy
+/// with partial information can be better.
 fn central_queue(scenario: &Scenario) -> Results {
     let mut slots: Vec<(f64, f64)> = Vec::new();
     for target in 0..scenario.targets {
@@ -466,16 +481,17 @@
     results.ended_us = requests.last().map_or(0, |request| request.arrived_us);
     for request in requests {
         let arrived = request.arrived_us as f64;
-        let end = |slot: &(f64, f64)| slot.0.max(arrived) + request.demand_us * slot.1;
-        let best = slots.iter_mut().min_by(|a, b| end(a).total_cmp(&end(b))).expect("slots");
-        let latency = end(best) - arrived + 2.0 * ONE_WAY_US as f64;
+        let ends_at = |slot: &(f64, f64)| slot.0.max(arrived) + request.service_time_us * slot.1;
+        let best =
+            slots.iter_mut().min_by(|a, b| ends_at(a).total_cmp(&ends_at(b))).expect("slots");
+        let latency = ends_at(best) - arrived + 2.0 * ONE_WAY_US as f64;
         if latency > DEADLINE.as_micros() as f64 {
             results.shed += 1;
             continue;
         }
-        best.0 = end(best);
+        best.0 = ends_at(best);
         results.latencies_us.push(latency as u64);
-        results.good += usize::from(end(best) <= results.ended_us as f64);
+        results.in_time += usize::from(ends_at(best) <= results.ended_us as f64);
     }
     results
 }
@@ -484,12 +500,12 @@
     results.latencies_us.sort_unstable();
     let count = results.latencies_us.len();
     let quantile_ms = |share: f64| {
-        let place = ((count as f64 * share) as usize).min(count.saturating_sub(1));
-        results.latencies_us.get(place).map_or(0.0, |us| *us as f64 / 1000.0)
+        let index = ((count as f64 * share) as usize).min(count.saturating_sub(1));
+        results.latencies_us.get(index).map_or(0.0, |us| *us as f64 / 1000.0)
     };
     let capacity =
         scenario.targets as f64 * f64::from(SLOTS) / SERVICE_MEAN_US * results.ended_us as f64;
-    let goodput = results.good as f64 / capacity * 100.0;
+    let goodput = results.in_time as f64 / capacity * 100.0;
     let sent = results.first_attempts.max(1) as f64;
     println!(
         "{:>5.0}% {:>3} {:<22} {:>7.1} {:>7.1} {:>7.1} {:>7.1}% {:>6} {:>6} {:>6.2}% {:>6.2}%",
@@ -501,43 +517,43 @@
         quantile_ms(0.999),
         goodput,
         results.shed,
-        results.late,
+        results.timed_out,
         results.hedges as f64 / sent * 100.0,
         results.straggler as f64 / sent * 100.0,
     );
 }
 
-fn numbers(text: &str) -> Vec<u64> {
+fn parse_numbers(text: &str) -> Vec<u64> {
     text.split(',').map(|number| number.parse().expect("a number")).collect()
 }
 
 fn main() {
     let mut loads = vec![500, 700, 850, 950, 1200];
-    let mut groups = vec![3, 14];
+    let mut entry_counts = vec![3, 14];
     let (mut targets, mut spread, mut stale_us) = (20, 0.0, 0);
-    let mut ours = PoolConfig::default();
-    let mut only_ours = false;
-    let (mut straggler, mut noise, mut count, mut seed) = (10.0, false, 60_000, 1);
+    let mut base = PoolConfig::default();
+    let mut skip_baselines = false;
+    let (mut straggler, mut noise, mut request_count, mut seed) = (10.0, false, 60_000, 1);
     let mut args = std::env::args().skip(1);
     while let Some(arg) = args.next() {
         let mut value = || args.next().expect("a value");
         match arg.as_str() {
-            "--loads" => loads = numbers(&value()),
-            "--entries" => groups = numbers(&value()),
+            "--loads" => loads = parse_numbers(&value()),
+            "--entries" => entry_counts = parse_numbers(&value()),
             "--straggler" => straggler = value().parse().expect("a number"),
-            "--requests" => count = value().parse().expect("a number"),
+            "--requests" => request_count = value().parse().expect("a number"),
             "--targets" => targets = value().parse().expect("a number"),
             "--spread" => spread = value().parse().expect("a number"),
             "--stale-ms" => stale_us = value().parse::<u64>().expect("a number") * 1000,
             "--seed" => seed = value().parse().expect("a number"),
-            "--gate-extra" => ours.target.extra_concurrency = value().parse().expect("a number"),
-            "--gate-away" => ours.target.non_home_concurrency = value().parse().expect("a number"),
+            "--gate-extra" => base.target.extra_concurrency = value().parse().expect("a number"),
+            "--gate-away" => base.target.non_home_concurrency = value().parse().expect("a number"),
             "--fade-ms" => {
-                ours.target.report_decay =
+                base.target.report_decay =
                     Duration::from_millis(value().parse().expect("a number"));
             }
-            "--slow-factor" => ours.target.slow_factor = value().parse().expect("a number"),
-            "--only-ours" => only_ours = true,
+            "--slow-factor" => base.target.slow_factor = value().parse().expect("a number"),
+            "--only-ours" => skip_baselines = true,
             "--noise" => noise = true,
             _ => panic!("unknown argument {arg}"),
         }
@@ -546,7 +562,7 @@
         " load  entries policy             p50 ms  p99 ms p999 ms  goodput   shed   late hedges straggler"
     );
     for load_permille in loads {
-        for entries in &groups {
+        for entries in &entry_counts {
             let scenario = Scenario {
                 load_permille,
                 entries: *entries as usize,
@@ -555,12 +571,12 @@
                 targets,
                 stale_us,
                 spread,
-                requests: count,
+                requests: request_count,
                 seed,
             };
             print_row("central queue", &scenario, central_queue(&scenario));
             for policy in Policy::ALL {
-                if policy == Policy::LoadAware || only_ours {
+                if policy == Policy::LoadAware || skip_baselines {
                     continue;
                 }
                 let config = PoolConfig::baseline(policy);
@@ -569,10 +585,10 @@
             let no_hedge = PoolConfig {
                 hedge_share: shallotfork_types::Permille::new(0),
                 hedge_burst: 0,
-                ..ours.clone()
+                ..base.clone()
             };
             print_row("load-aware, no hedge", &scenario, Trial::new(&scenario, &no_hedge).run());
-            print_row("load-aware", &scenario, Trial::new(&scenario, &ours).run());
+            print_row("load-aware", &scenario, Trial::new(&scenario, &base).run());
         }
     }
 }
--- a/crates/balance/tests/pool.rs
+++ b/crates/balance/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Properties of the pool under any order of events.
+//! Property test of the pool with arbitrary sequences of events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 #[derive(Debug, Clone)]
 enum Event {
-    Admit { priority: u8, patience_ms: u16, exclude: u8 },
+    Admit { priority: u8, timeout_ms: u16, exclude: u8 },
     Retry { exclude: u8 },
     Hedge { pick: u8 },
     Finish { pick: u8, outcome: u8, latency_ms: u8 },
@@ -31,7 +31,7 @@
         match u8::arbitrary(g) % 16 {
             0..=5 => Self::Admit {
                 priority: u8::arbitrary(g) % 3,
-                patience_ms: u16::arbitrary(g) % 500,
+                timeout_ms: u16::arbitrary(g) % 500,
                 exclude: u8::arbitrary(g) & u8::arbitrary(g),
             },
             6 => Self::Retry { exclude: u8::arbitrary(g) & u8::arbitrary(g) },
@@ -56,36 +56,37 @@
     TargetId::new(&format!("target-{}", number % TARGETS)).expect("a valid name")
 }
 
-fn chosen(bits: u8) -> Vec<TargetId> {
+fn target_ids(bits: u8) -> Vec<TargetId> {
     (0..TARGETS).filter(|number| bits & (1 << number) != 0).map(target_id).collect()
 }
 
 fn published(listed: u8, draining: u8) -> Vec<PoolTarget> {
     let domain = FailureDomain::new("boulder").expect("a valid name");
-    let drains = chosen(draining);
+    let draining_ids = target_ids(draining);
     let target = |id: TargetId| {
-        let state = if drains.contains(&id) { TargetState::Draining } else { TargetState::Serving };
+        let state =
+            if draining_ids.contains(&id) { TargetState::Draining } else { TargetState::Serving };
         PoolTarget::new(id, domain.clone(), 2).with_state(state)
     };
-    chosen(listed).into_iter().map(target).collect()
+    target_ids(listed).into_iter().map(target).collect()
 }
 
-/// What a caller of the pool knows, kept apart from the pool's own account.
-struct Caller {
+/// A model of the pool's state, kept independently of the pool.
+struct PoolModel {
     pool: Pool,
     now: Mono,
     serving: Vec<TargetId>,
     running: BTreeMap<AttemptId, TargetId>,
     waiting: BTreeMap<Ticket, PoolRequest>,
     ended: BTreeSet<Ticket>,
-    firsts: u64,
+    first_attempts: u64,
     hedges: u64,
     retries: u64,
-    hedges_owed_min: i64,
-    retries_owed_min: i64,
+    hedges_excess_min: i64,
+    retries_excess_min: i64,
 }
 
-impl Caller {
+impl PoolModel {
     fn new(policy: Policy) -> Self {
         let config = PoolConfig { policy, queue_max: 8, ..PoolConfig::default() };
         Self {
@@ -95,68 +96,69 @@
             running: BTreeMap::new(),
             waiting: BTreeMap::new(),
             ended: BTreeSet::new(),
-            firsts: 0,
+            first_attempts: 0,
             hedges: 0,
             retries: 0,
-            hedges_owed_min: 0,
-            retries_owed_min: 0,
+            hedges_excess_min: 0,
+            retries_excess_min: 0,
         }
     }
 
-    fn ask(&self, patience_ms: u16, exclude: u8) -> PoolRequest {
-        let deadline = self.now.plus(Duration::from_millis(u64::from(patience_ms)));
-        PoolRequest::new(deadline).with_exclude(chosen(exclude))
+    fn request(&self, timeout_ms: u16, exclude: u8) -> PoolRequest {
+        let deadline = self.now.plus(Duration::from_millis(u64::from(timeout_ms)));
+        PoolRequest::new(deadline).with_exclude(target_ids(exclude))
     }
 
-    fn sent(&mut self, assignment: Assignment, ask: &PoolRequest) {
-        assert!(self.serving.contains(&assignment.target), "assigned a target that takes nothing");
-        assert!(!ask.exclude.contains(&assignment.target), "assigned an excluded target");
-        assert!(ask.deadline > self.now, "assigned after the deadline");
-        let before = self.running.insert(assignment.attempt, assignment.target);
-        assert!(before.is_none(), "an attempt was named twice");
+    fn record_assignment(&mut self, assignment: Assignment, request: &PoolRequest) {
+        assert!(self.serving.contains(&assignment.target), "assigned a target that is not serving");
+        assert!(!request.exclude.contains(&assignment.target), "assigned an excluded target");
+        assert!(request.deadline > self.now, "assigned after the deadline");
+        let previous = self.running.insert(assignment.attempt, assignment.target);
+        assert!(previous.is_none(), "an attempt id was used twice");
     }
 
-    fn admitted(&mut self, admission: Admission, ask: PoolRequest) {
+    fn record_admission(&mut self, admission: Admission, request: PoolRequest) {
         match admission {
-            Admission::Send(assignment) => self.sent(assignment, &ask),
-            Admission::Queued(ticket) => assert!(self.waiting.insert(ticket, ask).is_none()),
+            Admission::Send(assignment) => self.record_assignment(assignment, &request),
+            Admission::Queued(ticket) => assert!(self.waiting.insert(ticket, request).is_none()),
             Admission::Shed(shed) => {
-                let possible = self.serving.iter().any(|id| !ask.exclude.contains(id));
+                let has_target = self.serving.iter().any(|id| !request.exclude.contains(id));
                 assert_eq!(
-                    possible || ask.deadline <= self.now,
-                    shed.reason != ShedReason::NoTarget || ask.deadline <= self.now,
-                    "refused for lack of targets although one may serve, or the reverse"
+                    has_target || request.deadline <= self.now,
+                    shed.reason != ShedReason::NoTarget || request.deadline <= self.now,
+                    "shed for lack of targets although one can serve, or the reverse"
                 );
             }
         }
     }
 
-    fn woken(&mut self, woken: Vec<ResolvedTicket>) {
-        for ResolvedTicket { ticket, resolution } in woken {
+    fn record_resolved(&mut self, resolved: Vec<ResolvedTicket>) {
+        for ResolvedTicket { ticket, resolution } in resolved {
             assert!(self.ended.insert(ticket), "a ticket ended twice");
-            let ask = self.waiting.remove(&ticket).expect("only waiting tickets are woken");
+            let request = self.waiting.remove(&ticket).expect("only waiting tickets are resolved");
             if let Resolution::Send(assignment) = resolution {
-                self.sent(assignment, &ask);
+                self.record_assignment(assignment, &request);
             }
         }
     }
 
     fn apply(&mut self, event: &Event) {
         match *event {
-            Event::Admit { priority, patience_ms, exclude } => {
-                self.firsts += 1;
-                let ask = self.ask(patience_ms, exclude).with_priority(Priority::new(priority));
-                let admission = self.pool.admit(ask.clone(), self.now);
-                self.admitted(admission, ask);
+            Event::Admit { priority, timeout_ms, exclude } => {
+                self.first_attempts += 1;
+                let request =
+                    self.request(timeout_ms, exclude).with_priority(Priority::new(priority));
+                let admission = self.pool.admit(request.clone(), self.now);
+                self.record_admission(admission, request);
             }
             Event::Retry { exclude } => {
-                let ask = self.ask(300, exclude);
-                let admission = self.pool.retry(ask.clone(), self.now);
-                let refused =
+                let request = self.request(300, exclude);
+                let admission = self.pool.retry(request.clone(), self.now);
+                let is_rejected =
                     matches!(admission, Admission::Shed(s) if s.reason == ShedReason::RetryBudget);
-                self.retries += u64::from(!refused);
-                if !refused {
-                    self.admitted(admission, ask);
+                self.retries += u64::from(!is_rejected);
+                if !is_rejected {
+                    self.record_admission(admission, request);
                 }
             }
             Event::Hedge { pick } => self.hedge(pick),
@@ -172,8 +174,8 @@
                 let targets = published(listed, draining);
                 let serving = targets.iter().filter(|t| t.state == TargetState::Serving);
                 self.serving = serving.map(|t| t.id.clone()).collect();
-                let woken = self.pool.set_targets(&targets, self.now);
-                self.woken(woken);
+                let resolved = self.pool.set_targets(&targets, self.now);
+                self.record_resolved(resolved);
             }
             Event::Report { target, in_flight } => {
                 let report =
@@ -181,8 +183,8 @@
                 self.pool.report(&target_id(target), report, self.now);
             }
             Event::Expire => {
-                let woken = self.pool.expire(self.now);
-                self.woken(woken);
+                let resolved = self.pool.expire(self.now);
+                self.record_resolved(resolved);
             }
         }
     }
@@ -190,11 +192,11 @@
     fn hedge(&mut self, pick: u8) {
         let Some(attempt) = nth(self.running.keys(), pick) else { return };
         let first = self.running[&attempt].clone();
-        let ask = self.ask(300, 0);
-        let Some(assignment) = self.pool.hedge(attempt, ask.clone(), self.now) else { return };
+        let request = self.request(300, 0);
+        let Some(assignment) = self.pool.hedge(attempt, request.clone(), self.now) else { return };
         assert_ne!(first, assignment.target, "hedged to the same target");
         self.hedges += 1;
-        self.sent(assignment, &ask);
+        self.record_assignment(assignment, &request);
     }
 
     fn finish(&mut self, pick: u8, outcome: u8, latency_ms: u8) {
@@ -208,19 +210,19 @@
             _ => AttemptOutcome::Answered { latency },
         };
         self.running.remove(&attempt);
-        let woken = self.pool.finish(attempt, outcome, None, self.now);
-        self.woken(woken);
+        let resolved = self.pool.finish(attempt, outcome, None, self.now);
+        self.record_resolved(resolved);
     }
 
-    /// What must hold after every event.
-    fn check(&mut self) {
+    /// Checks the invariants that hold after every event.
+    fn check_invariants(&mut self) {
         let config = PoolConfig::default();
-        let hedges_owed = owed(self.hedges, config.hedge_share, self.firsts);
-        self.hedges_owed_min = self.hedges_owed_min.min(hedges_owed);
-        assert!(hedges_owed - self.hedges_owed_min <= i64::from(config.hedge_burst) * 1000);
-        let retries_owed = owed(self.retries, config.retry_share, self.firsts);
-        self.retries_owed_min = self.retries_owed_min.min(retries_owed);
-        assert!(retries_owed - self.retries_owed_min <= i64::from(config.retry_burst) * 1000);
+        let hedges_excess = excess_milli(self.hedges, config.hedge_share, self.first_attempts);
+        self.hedges_excess_min = self.hedges_excess_min.min(hedges_excess);
+        assert!(hedges_excess - self.hedges_excess_min <= i64::from(config.hedge_burst) * 1000);
+        let retries_excess = excess_milli(self.retries, config.retry_share, self.first_attempts);
+        self.retries_excess_min = self.retries_excess_min.min(retries_excess);
+        assert!(retries_excess - self.retries_excess_min <= i64::from(config.retry_burst) * 1000);
         assert_eq!(self.running.len(), self.pool.running(), "attempts leak");
         for status in self.pool.status(self.now) {
             let expected = self.running.values().filter(|id| **id == status.id).count();
@@ -228,27 +230,27 @@
         }
     }
 
-    /// Ends everything; no ticket may be left and none may have ended twice.
-    fn close(&mut self) {
+    /// Finishes all attempts and expires the queue; every ticket must have ended exactly once.
+    fn finish_all(&mut self) {
         while let Some(attempt) = self.running.keys().next().copied() {
             self.running.remove(&attempt);
-            let woken = self.pool.finish(attempt, AttemptOutcome::Cancelled, None, self.now);
-            self.woken(woken);
+            let resolved = self.pool.finish(attempt, AttemptOutcome::Cancelled, None, self.now);
+            self.record_resolved(resolved);
         }
         self.now = self.now.plus(Duration::from_secs(60));
-        let woken = self.pool.expire(self.now);
-        self.woken(woken);
+        let resolved = self.pool.expire(self.now);
+        self.record_resolved(resolved);
         assert!(self.waiting.is_empty(), "a ticket never ended");
         assert_eq!(None, self.pool.next_expiry());
     }
 }
 
-/// Thousandths of extra attempts beyond their share of first ones. In any span of time its growth
-/// is what the burst must cover.
-fn owed(extras: u64, share: Permille, firsts: u64) -> i64 {
-    let spent = i64::try_from(extras * 1000).expect("few events");
-    let earned = i64::try_from(u64::from(share.value()) * firsts).expect("few events");
-    spent - earned
+/// Returns the extra attempts beyond their share of first attempts, in thousandths. In any span of
+/// time, its growth is at most the burst.
+fn excess_milli(extra_attempts: u64, share: Permille, first_attempts: u64) -> i64 {
+    let used = i64::try_from(extra_attempts * 1000).expect("few events");
+    let earned = i64::try_from(u64::from(share.value()) * first_attempts).expect("few events");
+    used - earned
 }
 
 fn nth<'a, T: Copy + 'a>(mut items: impl ExactSizeIterator<Item = &'a T>, pick: u8) -> Option<T> {
@@ -257,16 +259,16 @@
 }
 
 #[test]
-fn any_order_of_events_keeps_the_promises() {
+fn pool_invariants_hold_for_any_event_order() {
     fn property(events: Vec<(Event, u8)>, policy: u8) -> TestResult {
-        let mut caller = Caller::new(Policy::ALL[usize::from(policy) % Policy::ALL.len()]);
-        caller.apply(&Event::Publish { listed: 0b11_1111, draining: 0 });
+        let mut model = PoolModel::new(Policy::ALL[usize::from(policy) % Policy::ALL.len()]);
+        model.apply(&Event::Publish { listed: 0b11_1111, draining: 0 });
         for (event, wait_ms) in events {
-            caller.now = caller.now.plus(Duration::from_millis(u64::from(wait_ms % 16)));
-            caller.apply(&event);
-            caller.check();
+            model.now = model.now.plus(Duration::from_millis(u64::from(wait_ms % 16)));
+            model.apply(&event);
+            model.check_invariants();
         }
-        caller.close();
+        model.finish_all();
         TestResult::passed()
     }
     QuickCheck::new()
