--- a/crates/balance/tests/cold_targets.rs
+++ b/crates/balance/tests/cold_targets.rs
@@ -107,7 +107,7 @@
             let (names, part) = own_view(&process.name);
             process.pool.set_sharers(names, part, at(0));
         }
-        fleet.tell_sharers(1_000);
+        fleet.schedule_view_updates(1_000);
         fleet.run(4_000, 4_000);
         let max = fleet.max_sends_in_window(0, WINDOW_MS);
         assert!(max <= allowed_in_window(), "{count}: {max}");
--- a/crates/balance/tests/slots_load.rs
+++ b/crates/balance/tests/slots_load.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use support::{Load, Second, Simulation};
+use support::{Load, SecondOutcomes, Simulation};
 
 /// One of three entries of a large deployment; its slots are two fifths used on a quiet day.
 const READS: Load = Load {
@@ -30,7 +30,7 @@
 
 /// Shares of requests in time, by the second in which they were first sent.
 fn in_time_shares(simulation: &Simulation) -> Vec<f64> {
-    simulation.seconds.values().map(Second::in_time_share).collect()
+    simulation.seconds.values().map(SecondOutcomes::in_time_share).collect()
 }
 
 #[test]
@@ -47,7 +47,7 @@
 #[test]
 fn a_crowd_does_not_delay_those_who_come_after_it() {
     let mut simulation = Simulation::new(READS, 2);
-    simulation.crowd(0, 400);
+    simulation.burst(0, 400);
     simulation.arrivals(0, 10, 1.0);
     simulation.run(14);
     let shares = in_time_shares(&simulation);
@@ -78,7 +78,7 @@
     for seed in 4..8 {
         let mut simulation = Simulation::new(READS, seed);
         simulation.foreign_requests(1500);
-        simulation.crowd(0, 300);
+        simulation.burst(0, 300);
         simulation.arrivals(0, 8, 1.0);
         simulation.run(12);
         let shares = in_time_shares(&simulation);
--- a/crates/balance/tests/support/fleet.rs
+++ b/crates/balance/tests/support/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of processes that send to the same targets and differ on who shares them.
+//! A simulated fleet of processes that send to the same targets and whose views of the sharing
+//! processes differ.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -7,7 +8,7 @@
 
 use super::support::{answered, ask, at};
 
-/// Said by processes that see the whole fleet.
+/// Share of the fleet seen by processes that see all of it.
 pub const WHOLE: Permille = Permille::new(1000);
 
 const STEP_MS: u64 = 10;
@@ -18,23 +19,24 @@
     pub name: String,
     pub pool: SlotPool,
     running: Vec<(u64, Assignment)>,
-    /// A fleet change that this process has not learned of yet: when it does, and the new sharers.
+    /// A fleet change that this process has not learned of yet: the time when it does, and the new
+    /// sharers.
     pub pending_view: Option<(u64, Vec<String>)>,
 }
 
 pub struct Fleet {
     pub processes: Vec<Process>,
-    /// Names of the processes that callers are sent to.
+    /// Names of the processes advertised to callers.
     pub sharers: Vec<String>,
     pub rng: StdRng,
-    /// When requests were sent, in milliseconds, and the targets that they were sent to.
+    /// Sent requests: the time in milliseconds and the target.
     pub sends: Vec<(u64, String)>,
     service_time_ms: u64,
 }
 
 impl Fleet {
-    /// `count` processes, of which callers are sent to the first `sharers`, each with a pool of its
-    /// own.
+    /// Creates `count` processes, each with its own pool; the first `sharers` of them are
+    /// advertised to callers.
     pub fn new(
         seed: u64,
         count: usize,
@@ -54,8 +56,7 @@
         Self { processes, sharers, rng, sends, service_time_ms }
     }
 
-    /// Replaces one of the sharers by another process. Each process learns of it after its own
-    /// random delay.
+    /// Replaces one of the sharers by another process.
     fn replace_sharer(&mut self, now_ms: u64) {
         let others: Vec<&Process> =
             self.processes.iter().filter(|p| !self.sharers.contains(&p.name)).collect();
@@ -65,21 +66,21 @@
         let new = others[self.rng.random_range(0..others.len())].name.clone();
         let place = self.rng.random_range(0..self.sharers.len());
         self.sharers[place] = new;
-        self.tell_sharers(now_ms);
+        self.schedule_view_updates(now_ms);
     }
 
-    /// Has each process learn who the sharers are after its own random delay.
-    pub fn tell_sharers(&mut self, now_ms: u64) {
+    /// Schedules each process to learn the current sharers after its own random delay.
+    pub fn schedule_view_updates(&mut self, now_ms: u64) {
         for process in &mut self.processes {
-            let learned_ms = now_ms + self.rng.random_range(0..VIEW_DELAY_MAX_MS);
-            process.pending_view = Some((learned_ms, self.sharers.clone()));
+            let update_at_ms = now_ms + self.rng.random_range(0..VIEW_DELAY_MAX_MS);
+            process.pending_view = Some((update_at_ms, self.sharers.clone()));
         }
     }
 
-    /// Has every process send as much as its pool admits.
+    /// Sends as many requests from each process as its pool admits.
     fn step(&mut self, now_ms: u64) {
         for process in &mut self.processes {
-            let view = process.pending_view.take_if(|(learned_ms, _)| *learned_ms <= now_ms);
+            let view = process.pending_view.take_if(|(update_at_ms, _)| *update_at_ms <= now_ms);
             if let Some((_, view)) = view {
                 process.pool.set_sharers(view, WHOLE, at(now_ms));
             }
@@ -104,15 +105,16 @@
         }
     }
 
-    /// The most requests that any target got within a window that begins at `from_ms` or later.
+    /// Returns the maximum number of requests to any target within a window that begins at
+    /// `from_ms` or later.
     pub fn max_sends_in_window(&self, from_ms: u64, window_ms: u64) -> usize {
-        let begins = self.sends.iter().filter(|(at_ms, _)| *at_ms >= from_ms);
+        let window_starts = self.sends.iter().filter(|(at_ms, _)| *at_ms >= from_ms);
         let in_window = |(begin_ms, target): &(u64, String)| {
             let window = *begin_ms..*begin_ms + window_ms;
-            let there =
+            let in_target =
                 self.sends.iter().filter(|(at_ms, to)| window.contains(at_ms) && to == target);
-            there.count()
+            in_target.count()
         };
-        begins.map(in_window).max().unwrap_or(0)
+        window_starts.map(in_window).max().unwrap_or(0)
     }
 }
--- a/crates/balance/tests/support/mod.rs
+++ b/crates/balance/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! A service's targets and callers in simulated time, served by one pool.
+//! Simulation of the targets and callers of a service in virtual time, served by one pool.
 //!
-//! Targets share hosts with neighbours that slow them down for 150 ms at a time; a run keeps the
-//! pace at which it began, and two runs at once take longer than one. Callers that are refused
+//! Targets share hosts with neighbours that slow them down for 150 ms at a time. A request keeps
+//! the speed at which it started, and two requests at once take longer than one. Rejected callers
 //! come back twice.
 
 #![expect(clippy::unwrap_used, reason = "a test builder may end the test")]
@@ -15,30 +15,31 @@
 };
 use shallotfork_types::{FailureDomain, Mono, TargetId};
 
-/// Way to a target and back, with its word on its load.
-const CHECK_MS: u64 = 2;
-/// How often waits are ended and probes sent.
-const LOOK_MS: u64 = 12;
+/// Round-trip time of a probe to a target, including its load report.
+const PROBE_ROUND_TRIP_MS: u64 = 2;
+/// Interval at which waits are expired and probes are sent.
+const TICK_MS: u64 = 12;
 const PHASE_MS: u64 = 150;
 const SLOW_SHARE: f64 = 0.3;
 const SLOW_FACTOR: f64 = 5.0;
 const STEADY_SLOW_FACTOR: f64 = 4.0;
-/// What the second of two slots costs both runs.
-const CROWDING: f64 = 1.7;
-const CHECKS_MAX: u32 = 4;
+/// Factor by which work takes longer when both slots are in use.
+const CONTENTION_FACTOR: f64 = 1.7;
+const PROBES_MAX: u32 = 4;
 const RETRIES: u32 = 2;
-/// As in the entry: less is the time on the way.
-const RETURNING_AFTER: Duration = Duration::from_millis(50);
+/// Minimum prior wait of a resubmitted request, the same as in the entry; shorter waits are network
+/// time.
+const RESUBMITTED_AFTER: Duration = Duration::from_millis(50);
 
 fn target_name(number: usize) -> String {
     format!("target-{number}")
 }
 
-/// A deterministic sequence of numbers from 0 to 1.
+/// A deterministic pseudo-random sequence of numbers from 0 to 1.
 #[derive(Debug)]
-pub struct Numbers(u64);
+pub struct RandomNumbers(u64);
 
-impl Numbers {
+impl RandomNumbers {
     pub fn new(seed: u64) -> Self {
         Self(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
@@ -51,76 +52,76 @@
     }
 }
 
-/// What the callers of a service ask for.
+/// Load and timing of the callers of a service.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
     pub targets: usize,
     pub work_ms: f64,
     pub objective_ms: u64,
-    /// The longest deadline of a first attempt.
+    /// Longest timeout of a first attempt.
     pub deadline_ms: u64,
-    /// How much shorter others are, evenly.
+    /// Maximum amount by which other timeouts are shorter, evenly distributed.
     pub deadline_spread_ms: u64,
-    /// The longest time that the route allows.
+    /// Longest timeout that the route allows.
     pub timeout_ms: u64,
-    /// Targets that work four times as long all the while.
+    /// Number of targets that always take four times as long.
     pub slow_targets: usize,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
 }
 
-/// What became of the requests that were first sent in one second.
+/// Outcomes of the requests that were first sent in one second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Second {
-    pub asked: u32,
+pub struct SecondOutcomes {
+    pub requests: u32,
     pub in_time: u32,
     pub late: u32,
     pub given_up: u32,
 }
 
-impl Second {
+impl SecondOutcomes {
     pub fn in_time_share(&self) -> f64 {
-        f64::from(self.in_time) / f64::from(self.asked.max(1))
+        f64::from(self.in_time) / f64::from(self.requests.max(1))
     }
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Request {
-    first_ms: u64,
-    /// When its caller gives up.
-    gives_up_ms: u64,
-    came_ms: u64,
+    first_sent_ms: u64,
+    /// Time at which its caller gives up.
+    gives_up_at_ms: u64,
+    arrived_ms: u64,
     retries: u32,
-    checks: u32,
-    tried_ms: f64,
-    /// How long its caller had waited before it came, as far as the entry can tell.
+    probes: u32,
+    attempt_ms: f64,
+    /// Time that its caller waited before the request arrived, as estimated by the entry.
     waited: Duration,
 }
 
 #[derive(Debug, Clone)]
 enum Event {
-    Arrives(Request),
-    Checked(Request, Assignment),
-    Ends(Request, Assignment),
-    Reports(TargetId),
-    ForeignEnds(TargetId),
-    Look,
+    Arrive(Request),
+    FinishProbe(Request, Assignment),
+    FinishAttempt(Request, Assignment),
+    ReceiveLoad(TargetId),
+    FinishForeign(TargetId),
+    Tick,
 }
 
-/// The targets, the callers and the pool between them.
+/// Simulated targets and callers with the pool between them.
 pub struct Simulation {
     load: Load,
     pool: SlotPool,
-    patience: PriorWaitEstimator,
-    numbers: Numbers,
+    prior_wait: PriorWaitEstimator,
+    random: RandomNumbers,
     now_ms: u64,
     events: BTreeMap<(u64, u64), Event>,
     event_count: u64,
     running: BTreeMap<TargetId, u32>,
     waiting: BTreeMap<Ticket, Request>,
-    slow: BTreeSet<(TargetId, u64)>,
-    known_phases: BTreeSet<(TargetId, u64)>,
-    pub seconds: BTreeMap<u64, Second>,
+    slow_phases: BTreeSet<(TargetId, u64)>,
+    sampled_phases: BTreeSet<(TargetId, u64)>,
+    pub seconds: BTreeMap<u64, SecondOutcomes>,
     pub probes: u64,
 }
 
@@ -138,61 +139,60 @@
         let mut simulation = Self {
             load,
             pool,
-            patience: PriorWaitEstimator::new(Duration::from_millis(load.deadline_ms)),
-            numbers: Numbers::new(seed),
+            prior_wait: PriorWaitEstimator::new(Duration::from_millis(load.deadline_ms)),
+            random: RandomNumbers::new(seed),
             now_ms: 0,
             events: BTreeMap::new(),
             event_count: 0,
             running: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            slow: BTreeSet::new(),
-            known_phases: BTreeSet::new(),
+            slow_phases: BTreeSet::new(),
+            sampled_phases: BTreeSet::new(),
             seconds: BTreeMap::new(),
             probes: 0,
         };
-        simulation.plan(0, Event::Look);
+        simulation.schedule(0, Event::Tick);
         simulation
     }
 
-    /// Has requests arrive at random moments from one second to another, at a multiple of the
-    /// usual rate.
+    /// Schedules arrivals at random times within a range of seconds, at a multiple of the usual
+    /// rate.
     pub fn arrivals(&mut self, from_s: u64, to_s: u64, factor: f64) {
         let count = ((to_s - from_s) as f64 * self.load.rate * factor) as u64;
         for _ in 0..count {
-            let at = from_s as f64 + self.numbers.next() * (to_s - from_s) as f64;
-            self.arrives((at * 1000.0) as u64);
+            let at = from_s as f64 + self.random.next() * (to_s - from_s) as f64;
+            self.schedule_arrival((at * 1000.0) as u64);
         }
     }
 
-    /// Has so many requests arrive at one moment.
-    pub fn crowd(&mut self, at_ms: u64, count: u32) {
-        (0..count).for_each(|_| self.arrives(at_ms));
+    /// Schedules `count` arrivals at one time.
+    pub fn burst(&mut self, at_ms: u64, count: u32) {
+        (0..count).for_each(|_| self.schedule_arrival(at_ms));
     }
 
-    /// Fills all targets with requests of other processes, which end one after the other until the
-    /// given time.
+    /// Fills all slots with requests of other processes, which end one by one until the given time.
     pub fn foreign_requests(&mut self, until_ms: u64) {
         for number in 0..self.load.targets * 2 {
             let target = TargetId::new(&target_name(number / 2)).unwrap();
             *self.running.entry(target.clone()).or_default() += 1;
-            let ends_ms = (self.numbers.next() * until_ms as f64) as u64;
-            self.plan(ends_ms, Event::ForeignEnds(target));
+            let ends_ms = (self.random.next() * until_ms as f64) as u64;
+            self.schedule(ends_ms, Event::FinishForeign(target));
         }
     }
 
-    fn arrives(&mut self, at_ms: u64) {
-        let spread_ms = (self.numbers.next() * self.load.deadline_spread_ms as f64) as u64;
+    fn schedule_arrival(&mut self, at_ms: u64) {
+        let spread_ms = (self.random.next() * self.load.deadline_spread_ms as f64) as u64;
         let request = Request {
-            first_ms: at_ms,
-            gives_up_ms: at_ms + self.load.deadline_ms - spread_ms,
-            came_ms: at_ms,
+            first_sent_ms: at_ms,
+            gives_up_at_ms: at_ms + self.load.deadline_ms - spread_ms,
+            arrived_ms: at_ms,
             retries: 0,
-            checks: 0,
-            tried_ms: 0.0,
+            probes: 0,
+            attempt_ms: 0.0,
             waited: Duration::ZERO,
         };
-        self.seconds.entry(at_ms / 1000).or_default().asked += 1;
-        self.plan(at_ms, Event::Arrives(request));
+        self.seconds.entry(at_ms / 1000).or_default().requests += 1;
+        self.schedule(at_ms, Event::Arrive(request));
     }
 
     pub fn run(&mut self, until_s: u64) {
@@ -201,11 +201,11 @@
                 return;
             }
             self.now_ms = at_ms;
-            self.take(event);
+            self.handle(event);
         }
     }
 
-    fn plan(&mut self, at_ms: u64, event: Event) {
+    fn schedule(&mut self, at_ms: u64, event: Event) {
         self.event_count += 1;
         self.events.insert((at_ms, self.event_count), event);
     }
@@ -214,147 +214,152 @@
         Mono::from_millis(self.now_ms)
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrives(request) => {
-                let deadline = Duration::from_millis(request.gives_up_ms - request.came_ms);
-                let waited = self.patience.estimate(deadline);
-                self.ask(Request { waited, ..request });
+            Event::Arrive(request) => {
+                let deadline = Duration::from_millis(request.gives_up_at_ms - request.arrived_ms);
+                let waited = self.prior_wait.estimate(deadline);
+                self.admit(Request { waited, ..request });
             }
-            Event::Checked(request, assignment) => self.checked(request, assignment),
-            Event::Ends(request, assignment) => self.ends(request, &assignment),
-            Event::Reports(target) => {
-                let figures = self.figures(&target);
-                let woken = self.pool.report(&target, figures, self.now());
-                self.deliver(woken);
+            Event::FinishProbe(request, assignment) => self.finish_probe(request, assignment),
+            Event::FinishAttempt(request, assignment) => self.finish_attempt(request, &assignment),
+            Event::ReceiveLoad(target) => {
+                let load_report = self.load_report(&target);
+                let resolved = self.pool.report(&target, load_report, self.now());
+                self.resolve(resolved);
             }
-            Event::ForeignEnds(target) => *self.running.get_mut(&target).unwrap() -= 1,
-            Event::Look => self.look(),
+            Event::FinishForeign(target) => *self.running.get_mut(&target).unwrap() -= 1,
+            Event::Tick => self.tick(),
         }
     }
 
-    fn slot_ask(&self, request: &Request) -> SlotAsk {
+    fn slot_request(&self, request: &Request) -> SlotAsk {
         let at = Mono::from_millis;
         let objective = Duration::from_millis(self.load.objective_ms);
-        let objective = at(request.came_ms).plus(objective.saturating_sub(request.waited));
-        let deadline = request.gives_up_ms.min(request.came_ms + self.load.timeout_ms);
-        SlotAsk::new(WorkClass::new("reads"), at(request.came_ms), objective, at(deadline))
-            .with_returning(request.waited > RETURNING_AFTER)
+        let objective = at(request.arrived_ms).plus(objective.saturating_sub(request.waited));
+        let deadline = request.gives_up_at_ms.min(request.arrived_ms + self.load.timeout_ms);
+        SlotAsk::new(WorkClass::new("reads"), at(request.arrived_ms), objective, at(deadline))
+            .with_returning(request.waited > RESUBMITTED_AFTER)
     }
 
-    fn ask(&mut self, request: Request) {
-        match self.pool.admit(self.slot_ask(&request), self.now()) {
-            Admission::Send(assignment) => self.got_slot(request, assignment),
-            Admission::Shed(shed) => self.refused(request, shed),
+    fn admit(&mut self, request: Request) {
+        match self.pool.admit(self.slot_request(&request), self.now()) {
+            Admission::Send(assignment) => self.probe_or_send(request, assignment),
+            Admission::Shed(shed) => self.retry_or_give_up(request, shed),
             Admission::Queued(ticket) => {
                 self.waiting.insert(ticket, request);
             }
         }
     }
 
-    fn got_slot(&mut self, request: Request, assignment: Assignment) {
-        let asks = self.pool.wants_check(&assignment.target, self.now());
-        if asks && request.checks < CHECKS_MAX {
-            self.plan(self.now_ms + CHECK_MS, Event::Checked(request, assignment));
+    fn probe_or_send(&mut self, request: Request, assignment: Assignment) {
+        let needs_probe = self.pool.wants_check(&assignment.target, self.now());
+        if needs_probe && request.probes < PROBES_MAX {
+            self.schedule(
+                self.now_ms + PROBE_ROUND_TRIP_MS,
+                Event::FinishProbe(request, assignment),
+            );
         } else {
             self.send(request, assignment);
         }
     }
 
-    fn checked(&mut self, request: Request, assignment: Assignment) {
-        let request = Request { checks: request.checks + 1, ..request };
-        let figures = self.figures(&assignment.target);
-        let woken = self.pool.report(&assignment.target, figures, self.now());
-        self.deliver(woken);
-        let ask = self.slot_ask(&request);
-        if !self.pool.is_unfit(&assignment, &ask, self.now()) {
+    fn finish_probe(&mut self, request: Request, assignment: Assignment) {
+        let request = Request { probes: request.probes + 1, ..request };
+        let load_report = self.load_report(&assignment.target);
+        let resolved = self.pool.report(&assignment.target, load_report, self.now());
+        self.resolve(resolved);
+        let slot_request = self.slot_request(&request);
+        if !self.pool.is_unfit(&assignment, &slot_request, self.now()) {
             return self.send(request, assignment);
         }
-        let woken = self.pool.finish(assignment.attempt, SlotOutcome::Cancelled, None, self.now());
-        self.deliver(woken);
-        self.ask(request);
+        let resolved =
+            self.pool.finish(assignment.attempt, SlotOutcome::Cancelled, None, self.now());
+        self.resolve(resolved);
+        self.admit(request);
     }
 
     fn send(&mut self, request: Request, assignment: Assignment) {
         self.pool.sending(assignment.attempt, self.now());
         let running = self.running.entry(assignment.target.clone()).or_default();
         *running += 1;
-        let crowded = *running > 1;
-        let pace = self.pace(&assignment.target);
-        let spread = 0.6 + 0.8 * self.numbers.next();
-        let crowding = if crowded { CROWDING } else { 1.0 };
-        let takes_ms = self.load.work_ms * pace * spread * crowding;
-        let request = Request { tried_ms: takes_ms, ..request };
-        self.plan(self.now_ms + takes_ms as u64, Event::Ends(request, assignment));
+        let contended = *running > 1;
+        let slowdown = self.slowdown(&assignment.target);
+        let spread = 0.6 + 0.8 * self.random.next();
+        let contention = if contended { CONTENTION_FACTOR } else { 1.0 };
+        let duration_ms = self.load.work_ms * slowdown * spread * contention;
+        let request = Request { attempt_ms: duration_ms, ..request };
+        self.schedule(self.now_ms + duration_ms as u64, Event::FinishAttempt(request, assignment));
     }
 
-    fn ends(&mut self, request: Request, assignment: &Assignment) {
-        let figures = self.figures(&assignment.target);
+    fn finish_attempt(&mut self, request: Request, assignment: &Assignment) {
+        let load_report = self.load_report(&assignment.target);
         *self.running.get_mut(&assignment.target).unwrap() -= 1;
-        let latency = Duration::from_micros((request.tried_ms * 1000.0) as u64);
+        let latency = Duration::from_micros((request.attempt_ms * 1000.0) as u64);
         let outcome = SlotOutcome::Answered { latency };
-        let woken = self.pool.finish(assignment.attempt, outcome, Some(figures), self.now());
-        let took_ms = self.now_ms - request.first_ms;
-        let second = self.seconds.entry(request.first_ms / 1000).or_default();
+        let resolved = self.pool.finish(assignment.attempt, outcome, Some(load_report), self.now());
+        let took_ms = self.now_ms - request.first_sent_ms;
+        let second = self.seconds.entry(request.first_sent_ms / 1000).or_default();
         match took_ms {
             took if took <= self.load.objective_ms => second.in_time += 1,
-            took if took <= request.gives_up_ms - request.first_ms => second.late += 1,
+            took if took <= request.gives_up_at_ms - request.first_sent_ms => second.late += 1,
             _ => second.given_up += 1,
         }
-        self.deliver(woken);
+        self.resolve(resolved);
     }
 
-    /// A refused caller comes back as told, within a third of the time that it has left.
-    fn refused(&mut self, request: Request, shed: Shed) {
-        let left_ms = request.gives_up_ms.saturating_sub(self.now_ms);
+    /// Schedules a rejected caller to come back after the retry-after time, or sooner: within a
+    /// third of its remaining time.
+    fn retry_or_give_up(&mut self, request: Request, shed: Shed) {
+        let left_ms = request.gives_up_at_ms.saturating_sub(self.now_ms);
         if request.retries == RETRIES || left_ms == 0 {
-            self.seconds.entry(request.first_ms / 1000).or_default().given_up += 1;
+            self.seconds.entry(request.first_sent_ms / 1000).or_default().given_up += 1;
             return;
         }
-        let pause_ms = (shed.retry_after.as_millis() as u64).min(left_ms / 3);
-        let came_ms = self.now_ms + pause_ms;
-        let request = Request { came_ms, retries: request.retries + 1, checks: 0, ..request };
-        self.plan(came_ms, Event::Arrives(request));
+        let delay_ms = (shed.retry_after.as_millis() as u64).min(left_ms / 3);
+        let arrived_ms = self.now_ms + delay_ms;
+        let request = Request { arrived_ms, retries: request.retries + 1, probes: 0, ..request };
+        self.schedule(arrived_ms, Event::Arrive(request));
     }
 
-    fn look(&mut self) {
-        let woken = self.pool.expire(self.now());
-        self.deliver(woken);
+    fn tick(&mut self) {
+        let resolved = self.pool.expire(self.now());
+        self.resolve(resolved);
         for target in self.pool.due_probes(self.now()) {
             self.probes += 1;
-            self.plan(self.now_ms + CHECK_MS, Event::Reports(target));
+            self.schedule(self.now_ms + PROBE_ROUND_TRIP_MS, Event::ReceiveLoad(target));
         }
-        self.plan(self.now_ms + LOOK_MS, Event::Look);
+        self.schedule(self.now_ms + TICK_MS, Event::Tick);
     }
 
-    fn deliver(&mut self, woken: Vec<ResolvedTicket>) {
-        for ResolvedTicket { ticket, resolution } in woken {
+    fn resolve(&mut self, resolved: Vec<ResolvedTicket>) {
+        for ResolvedTicket { ticket, resolution } in resolved {
             let request = self.waiting.remove(&ticket).unwrap();
             match resolution {
-                Resolution::Send(assignment) => self.got_slot(request, assignment),
-                Resolution::Shed(shed) => self.refused(request, shed),
+                Resolution::Send(assignment) => self.probe_or_send(request, assignment),
+                Resolution::Shed(shed) => self.retry_or_give_up(request, shed),
             }
         }
     }
 
-    fn figures(&mut self, target: &TargetId) -> LoadFigures {
-        let pace = Pace::new((self.pace(target) * 1000.0) as u32);
+    fn load_report(&mut self, target: &TargetId) -> LoadFigures {
+        let slowdown = Pace::new((self.slowdown(target) * 1000.0) as u32);
         let running = self.running.get(target).copied().unwrap_or(0);
-        LoadFigures { running, waiting: 0, slots: 2, pace: Some(pace) }
+        LoadFigures { running, waiting: 0, slots: 2, pace: Some(slowdown) }
     }
 
-    fn pace(&mut self, target: &TargetId) -> f64 {
+    fn slowdown(&mut self, target: &TargetId) -> f64 {
         let steady =
             (0..self.load.slow_targets).any(|number| target.as_str() == target_name(number));
         let steady = if steady { STEADY_SLOW_FACTOR } else { 1.0 };
-        steady * if self.is_slow(target) { SLOW_FACTOR } else { 1.0 }
+        steady * if self.is_in_slow_phase(target) { SLOW_FACTOR } else { 1.0 }
     }
 
-    fn is_slow(&mut self, target: &TargetId) -> bool {
+    fn is_in_slow_phase(&mut self, target: &TargetId) -> bool {
         let phase = (target.clone(), self.now_ms / PHASE_MS);
-        if self.known_phases.insert(phase.clone()) && self.numbers.next() < SLOW_SHARE {
-            self.slow.insert(phase.clone());
+        if self.sampled_phases.insert(phase.clone()) && self.random.next() < SLOW_SHARE {
+            self.slow_phases.insert(phase.clone());
         }
-        self.slow.contains(&phase)
+        self.slow_phases.contains(&phase)
     }
 }
