--- a/crates/balance/tests/support/fleet.rs
+++ b/crates/balance/tests/support/fleet.rs
@@ -8,7 +8,7 @@
 
 use super::support::{answered, ask, at};
 
-/// Share of the fleet seen by processes that see all of it.
+/// Share of the rate of cold targets that processes use when they see the whole fleet.
 pub const WHOLE: Permille = Permille::new(1000);
 
 const STEP_MS: u64 = 10;
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Sends as many requests from each process as its pool admits.
+    /// Sends one request from each process whose pool admits it.
     fn step(&mut self, now_ms: u64) {
         for process in &mut self.processes {
             let view = process.pending_view.take_if(|(update_at_ms, _)| *update_at_ms <= now_ms);
