--- a/crates/balance/tests/support/mod.rs
+++ b/crates/balance/tests/support/mod.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use shallotfork_balance::{
-    Admission, Assignment, LoadFigures, Pace, PriorWaitEstimator, Resolution, ResolvedTicket, Shed,
-    SlotAsk, SlotOutcome, SlotPool, SlotPoolConfig, SlotTarget, Ticket, WorkClass,
+    Admission, Assignment, PriorWaitEstimator, Resolution, ResolvedTicket, Shed, SlotOutcome,
+    SlotPool, SlotPoolConfig, SlotRequest, SlotTarget, Slowdown, TargetLoad, Ticket, WorkClass,
 };
 use shallotfork_types::{FailureDomain, Mono, TargetId};
 
@@ -225,7 +225,7 @@
             Event::FinishAttempt(request, assignment) => self.finish_attempt(request, &assignment),
             Event::ReceiveLoad(target) => {
                 let load_report = self.load_report(&target);
-                let resolved = self.pool.report(&target, load_report, self.now());
+                let resolved = self.pool.record_load(&target, load_report, self.now());
                 self.resolve(resolved);
             }
             Event::FinishForeign(target) => *self.running.get_mut(&target).unwrap() -= 1,
@@ -233,13 +233,13 @@
         }
     }
 
-    fn slot_request(&self, request: &Request) -> SlotAsk {
+    fn slot_request(&self, request: &Request) -> SlotRequest {
         let at = Mono::from_millis;
         let objective = Duration::from_millis(self.load.objective_ms);
         let objective = at(request.arrived_ms).plus(objective.saturating_sub(request.waited));
         let deadline = request.gives_up_at_ms.min(request.arrived_ms + self.load.timeout_ms);
-        SlotAsk::new(WorkClass::new("reads"), at(request.arrived_ms), objective, at(deadline))
-            .with_returning(request.waited > RESUBMITTED_AFTER)
+        SlotRequest::new(WorkClass::new("reads"), at(request.arrived_ms), objective, at(deadline))
+            .with_resubmitted(request.waited > RESUBMITTED_AFTER)
     }
 
     fn admit(&mut self, request: Request) {
@@ -253,7 +253,7 @@
     }
 
     fn probe_or_send(&mut self, request: Request, assignment: Assignment) {
-        let needs_probe = self.pool.wants_check(&assignment.target, self.now());
+        let needs_probe = self.pool.needs_probe(&assignment.target, self.now());
         if needs_probe && request.probes < PROBES_MAX {
             self.schedule(
                 self.now_ms + PROBE_ROUND_TRIP_MS,
@@ -267,7 +267,7 @@
     fn finish_probe(&mut self, request: Request, assignment: Assignment) {
         let request = Request { probes: request.probes + 1, ..request };
         let load_report = self.load_report(&assignment.target);
-        let resolved = self.pool.report(&assignment.target, load_report, self.now());
+        let resolved = self.pool.record_load(&assignment.target, load_report, self.now());
         self.resolve(resolved);
         let slot_request = self.slot_request(&request);
         if !self.pool.is_unfit(&assignment, &slot_request, self.now()) {
@@ -280,7 +280,7 @@
     }
 
     fn send(&mut self, request: Request, assignment: Assignment) {
-        self.pool.sending(assignment.attempt, self.now());
+        self.pool.mark_sent(assignment.attempt, self.now());
         let running = self.running.entry(assignment.target.clone()).or_default();
         *running += 1;
         let contended = *running > 1;
@@ -342,10 +342,10 @@
         }
     }
 
-    fn load_report(&mut self, target: &TargetId) -> LoadFigures {
-        let slowdown = Pace::new((self.slowdown(target) * 1000.0) as u32);
+    fn load_report(&mut self, target: &TargetId) -> TargetLoad {
+        let slowdown = Slowdown::new((self.slowdown(target) * 1000.0) as u32);
         let running = self.running.get(target).copied().unwrap_or(0);
-        LoadFigures { running, waiting: 0, slots: 2, pace: Some(slowdown) }
+        TargetLoad { running, waiting: 0, slots: 2, slowdown: Some(slowdown) }
     }
 
     fn slowdown(&mut self, target: &TargetId) -> f64 {
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -5,7 +5,7 @@
 
 use async_trait::async_trait;
 use shallotfork_evacuation::EvacuationChange;
-use shallotfork_roster::Change;
+use shallotfork_roster::TargetChange;
 use shallotfork_routes::RouteTable;
 use shallotfork_types::Revision;
 use thiserror::Error;
@@ -58,7 +58,7 @@
     Unreachable(String),
     /// It answered that it can't serve now.
     #[error("the platform turns this process away with status {0}")]
-    TurnedAway(u16),
+    Rejected(u16),
     /// The changes after that revision are no longer kept.
     #[error("the platform no longer keeps the changes after the revision")]
     HistoryLost,
@@ -82,7 +82,7 @@
     /// What became of a target's entry.
     Target {
         /// The change.
-        change: Change,
+        change: TargetChange,
         /// What in the entry is not valid and was left out.
         ignored: Option<String>,
     },
