--- a/crates/balance/src/pool.rs
+++ b/crates/balance/src/pool.rs
@@ -37,7 +37,8 @@
 /// Decides for one service which request is sent to which target, and when.
 ///
 /// - Every `Assignment` is returned through `finish`. Every `Ticket` ends once: as a
-///   `ResolvedTicket` from `finish`, `expire`, `report` or `set_targets`, or through `cancel`.
+///   `ResolvedTicket` from `finish`, `expire` or `set_targets`, or through `cancel`. Tickets that
+///   `report` resolves come with the next of these calls.
 /// - Draining and excluded targets are never assigned.
 /// - When all serving targets seem unhealthy, the evidence is ignored so that requests are still
 ///   served.
@@ -127,8 +128,8 @@
         self.latencies.quantile(self.config.hedge_quantile)
     }
 
-    /// Assigns a second target to a request in flight, if the budget and the concurrency limits
-    /// allow it now. The calling code ensures that the request is idempotent.
+    /// Assigns a second target to a request in flight, if the budget and the concurrency limits of
+    /// the targets allow it now. The calling code ensures that the request is idempotent.
     pub fn hedge(
         &mut self,
         attempt: AttemptId,
