--- a/crates/balance/tests/slots_load.rs
+++ b/crates/balance/tests/slots_load.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use support::{Load, Second, Simulation};
+use support::{Load, SecondOutcomes, Simulation};
 
 /// One of three entries of a large deployment, which uses two fifths of its slots under usual load.
 const READS: Load = Load {
@@ -31,7 +31,7 @@
 /// Returns the shares of requests that met their objective, by the second in which they were first
 /// sent.
 fn in_time_shares(simulation: &Simulation) -> Vec<f64> {
-    simulation.seconds.values().map(Second::in_time_share).collect()
+    simulation.seconds.values().map(SecondOutcomes::in_time_share).collect()
 }
 
 #[test]
@@ -48,7 +48,7 @@
 #[test]
 fn requests_after_a_spike_meet_objective() {
     let mut simulation = Simulation::new(READS, 2);
-    simulation.crowd(0, 400);
+    simulation.burst(0, 400);
     simulation.arrivals(0, 10, 1.0);
     simulation.run(14);
     let shares = in_time_shares(&simulation);
@@ -80,7 +80,7 @@
     for seed in 4..8 {
         let mut simulation = Simulation::new(READS, seed);
         simulation.foreign_requests(1500);
-        simulation.crowd(0, 300);
+        simulation.burst(0, 300);
         simulation.arrivals(0, 8, 1.0);
         simulation.run(12);
         let shares = in_time_shares(&simulation);
