--- a/crates/rules/src/condition.rs
+++ b/crates/rules/src/condition.rs
@@ -4,9 +4,9 @@
 use jiff::tz::TimeZone;
 use shallotfork_types::{CallerName, Permille, ServiceName};
 
-use crate::explanation::Unmet;
+use crate::explanation::UnmetCondition;
 use crate::latches::Latch;
-use crate::{Days, Described, TimeRange};
+use crate::{DayRange, RequestContext, TimeRange};
 
 /// One `when.` key; it holds when any of its values does.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     /// and one that it repeats occurs twice.
     Time(Vec<TimeRange>, TimeZone),
     /// The local day is one of these; after midnight it is the new day.
-    Days(Vec<Days>, TimeZone),
+    Days(Vec<DayRange>, TimeZone),
     /// The load is above this bound; never holds while the load is unknown.
     LoadAbove(Permille),
     /// The load is below this bound; never holds while the load is unknown.
@@ -39,7 +39,7 @@
         }
     }
 
-    pub(crate) fn holds(&self, described: &Described, latch: Latch) -> bool {
+    pub(crate) fn holds(&self, described: &RequestContext, latch: Latch) -> bool {
         match self {
             Self::Caller(callers) => {
                 described.caller.as_ref().is_some_and(|caller| callers.contains(caller))
@@ -58,8 +58,12 @@
         }
     }
 
-    pub(crate) fn unmet(&self, described: &Described) -> Unmet {
-        Unmet { key: self.key().to_owned(), wanted: self.wanted(), found: self.found(described) }
+    pub(crate) fn unmet(&self, described: &RequestContext) -> UnmetCondition {
+        UnmetCondition {
+            key: self.key().to_owned(),
+            wanted: self.wanted(),
+            found: self.found(described),
+        }
     }
 
     fn wanted(&self) -> String {
@@ -73,7 +77,7 @@
         }
     }
 
-    fn found(&self, described: &Described) -> String {
+    fn found(&self, described: &RequestContext) -> String {
         match self {
             Self::Caller(_) => shown_or(described.caller.as_ref(), "no caller"),
             Self::Service(_) => described.service.to_string(),
@@ -84,7 +88,7 @@
     }
 }
 
-fn local(described: &Described, zone: &TimeZone) -> Zoned {
+fn local(described: &RequestContext, zone: &TimeZone) -> Zoned {
     described.at.to_zoned(zone.clone())
 }
 
--- a/crates/rules/src/days.rs
+++ b/crates/rules/src/days.rs
@@ -1,4 +1,4 @@
-//! Days of the week.
+//! DayRange of the week.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,7 +8,7 @@
 
 /// One day, `sat`, or a run of days, `mon-fri`, which may pass the end of the week.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Days {
+pub struct DayRange {
     first: Weekday,
     last: Weekday,
 }
@@ -23,7 +23,7 @@
     ("sun", Weekday::Sunday),
 ];
 
-impl Days {
+impl DayRange {
     /// Whether `day` is one of them.
     pub fn contains(self, day: Weekday) -> bool {
         self.first.until(day) <= self.first.until(self.last)
@@ -38,7 +38,7 @@
     NAMES.iter().find(|(_, known)| *known == day).map_or("", |(name, _)| name)
 }
 
-impl fmt::Display for Days {
+impl fmt::Display for DayRange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.first == self.last {
             return f.write_str(name(self.first));
@@ -47,7 +47,7 @@
     }
 }
 
-impl FromStr for Days {
+impl FromStr for DayRange {
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
--- a/crates/rules/src/described.rs
+++ b/crates/rules/src/described.rs
@@ -5,7 +5,7 @@
 
 /// A request as the rules see it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Described {
+pub struct RequestContext {
     /// Who sends it, if the request says so.
     pub caller: Option<CallerName>,
     /// The service that it asks for.
--- a/crates/rules/src/explanation.rs
+++ b/crates/rules/src/explanation.rs
@@ -6,7 +6,7 @@
 
 /// A condition that did not hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unmet {
+pub struct UnmetCondition {
     /// Key of the condition.
     pub key: String,
     /// What it asks for.
@@ -23,7 +23,7 @@
     /// Line of its section.
     pub line: usize,
     /// Conditions that did not hold; empty for the rule that decides.
-    pub unmet: Vec<Unmet>,
+    pub unmet: Vec<UnmetCondition>,
 }
 
 /// Each rule in turn, down to the one that decides.
@@ -32,12 +32,12 @@
     /// Rules in order; the last one decides.
     pub rules: Vec<RuleTrace>,
     /// The rule that decides.
-    pub decided: RuleName,
+    pub deciding_rule: RuleName,
     /// What applies.
     pub outcome: Outcome,
 }
 
-impl fmt::Display for Unmet {
+impl fmt::Display for UnmetCondition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} is {}, found {}", self.key, self.wanted, self.found)
     }
@@ -49,7 +49,7 @@
         if self.unmet.is_empty() {
             return f.write_str("decides");
         }
-        let unmet: Vec<String> = self.unmet.iter().map(Unmet::to_string).collect();
+        let unmet: Vec<String> = self.unmet.iter().map(UnmetCondition::to_string).collect();
         write!(f, "no: {}", unmet.join("; "))
     }
 }
--- a/crates/rules/src/latches.rs
+++ b/crates/rules/src/latches.rs
@@ -15,7 +15,7 @@
 
 /// Remembers which load conditions of one list hold, for one service.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Latches {
+pub struct LoadHysteresis {
     rules: Vec<Latch>,
 }
 
@@ -25,8 +25,8 @@
     pub(crate) below: bool,
 }
 
-impl Latches {
-    /// Latches for a list, with no load condition holding.
+impl LoadHysteresis {
+    /// LoadHysteresis for a list, with no load condition holding.
     pub fn new(list: &RuleList) -> Self {
         Self { rules: vec![Latch::default(); list.rule_count()] }
     }
--- a/crates/rules/src/parser.rs
+++ b/crates/rules/src/parser.rs
@@ -9,7 +9,7 @@
 use shallotfork_ini::{Document, Section};
 
 use crate::section_reader::SectionReader;
-use crate::{Rule, RuleError, RuleList, RulePart};
+use crate::{Rule, RuleError, RuleList, ServiceRuleList};
 
 /// Rules in one list; more are refused, to bound the time that a decision takes.
 const MAX_RULES: usize = 2000;
@@ -22,13 +22,13 @@
     with_fallback(rules).ok_or_else(|| vec![whole_list("no rules")])
 }
 
-pub(crate) fn parse_part(text: &str) -> Result<RulePart, Vec<RuleError>> {
+pub(crate) fn parse_part(text: &str) -> Result<ServiceRuleList, Vec<RuleError>> {
     let check = |sections: &[Section]| {
         let mut errors = service_keys(sections);
         errors.extend(unreached(sections));
         errors
     };
-    Ok(RulePart::new(read(text, check)?))
+    Ok(ServiceRuleList::new(read(text, check)?))
 }
 
 /// Reads all rules; `check` looks at them as a whole.
--- a/crates/rules/src/rule_list.rs
+++ b/crates/rules/src/rule_list.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 
 use crate::parser;
-use crate::{Described, Explanation, Latches, Outcome, Rule, RuleError, RuleName, RuleTrace};
+use crate::{
+    Explanation, LoadHysteresis, Outcome, RequestContext, Rule, RuleError, RuleName, RuleTrace,
+};
 
 /// A checked list: rules with conditions, then one without that decides whatever reaches it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -14,7 +16,7 @@
 
 /// Which rule decides a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Decided<'a> {
+pub struct RuleDecision<'a> {
     /// Name of the rule.
     pub rule_name: &'a RuleName,
     /// What applies.
@@ -60,7 +62,11 @@
     /// The first rule whose conditions all hold.
     ///
     /// `latches` belong to this list and to the request's service; they take in the load first.
-    pub fn decide(&self, described: &Described, latches: &mut Latches) -> Decided<'_> {
+    pub fn decide(
+        &self,
+        described: &RequestContext,
+        latches: &mut LoadHysteresis,
+    ) -> RuleDecision<'_> {
         latches.observe(&self.conditional, described.load);
         let decides = |(index, rule): &(usize, &Arc<Rule>)| {
             let latch = latches.of(*index);
@@ -68,11 +74,11 @@
         };
         let found = self.conditional.iter().enumerate().find(decides);
         let rule = found.map_or(&self.fallback, |(_, rule)| rule);
-        Decided { rule_name: &rule.name, outcome: &rule.outcome }
+        RuleDecision { rule_name: &rule.name, outcome: &rule.outcome }
     }
 
     /// Each rule in turn, which of its conditions do not hold, and which rule decides.
-    pub fn explain(&self, described: &Described, latches: &mut Latches) -> Explanation {
+    pub fn explain(&self, described: &RequestContext, latches: &mut LoadHysteresis) -> Explanation {
         latches.observe(&self.conditional, described.load);
         let mut rules = Vec::new();
         for (index, rule) in self.rules().enumerate() {
@@ -90,5 +96,5 @@
 }
 
 fn explanation(rules: Vec<RuleTrace>, decider: &Rule) -> Explanation {
-    Explanation { rules, decided: decider.name.clone(), outcome: decider.outcome.clone() }
+    Explanation { rules, deciding_rule: decider.name.clone(), outcome: decider.outcome.clone() }
 }
--- a/crates/rules/src/rule_part.rs
+++ b/crates/rules/src/rule_part.rs
@@ -10,11 +10,11 @@
 /// A fleet with many services publishes a list for each, so that a change is as large as the
 /// service's own rules and no larger.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct RulePart {
+pub struct ServiceRuleList {
     rules: Vec<Arc<Rule>>,
 }
 
-impl RulePart {
+impl ServiceRuleList {
     /// Reads the rules from INI text.
     ///
     /// # Errors
--- a/crates/rules/src/service_index.rs
+++ b/crates/rules/src/service_index.rs
@@ -5,7 +5,7 @@
 
 use shallotfork_types::ServiceName;
 
-use crate::{Condition, Rule, RuleList, RulePart};
+use crate::{Condition, Rule, RuleList, ServiceRuleList};
 
 /// The rules of a general list by the service that they name.
 ///
@@ -48,7 +48,7 @@
     }
 
     /// The list that decides requests of a service: its own part first, then the general rules.
-    pub fn rules_for(&self, service: &ServiceName, part: Option<&RulePart>) -> RuleList {
+    pub fn rules_for(&self, service: &ServiceName, part: Option<&ServiceRuleList>) -> RuleList {
         let mut rules: Vec<Arc<Rule>> = part.map_or(Vec::new(), |part| part.rules().to_vec());
         if let Some(fallback) = rules.pop_if(|rule| rule.conditions.is_empty()) {
             return RuleList::new(rules, fallback);
--- a/crates/rules/tests/rule_list.rs
+++ b/crates/rules/tests/rule_list.rs
@@ -2,7 +2,7 @@
 
 use jiff::Timestamp;
 use quickcheck::{Gen, QuickCheck};
-use shallotfork_rules::{Described, Latches, RuleList};
+use shallotfork_rules::{LoadHysteresis, RequestContext, RuleList};
 use shallotfork_types::Permille;
 
 const MORNING: &str = "\
@@ -25,13 +25,13 @@
 then.retries = 2
 ";
 
-struct Request(Described);
+struct Request(RequestContext);
 
 impl Request {
     fn new(service: &str, at: &str) -> Self {
         let at: Timestamp = at.parse().expect("time");
         let service = service.parse().expect("service name");
-        Self(Described { caller: None, service, at, load: None })
+        Self(RequestContext { caller: None, service, at, load: None })
     }
 
     fn with_caller(mut self, caller: &str) -> Self {
@@ -44,12 +44,12 @@
         self
     }
 
-    fn decided_by(&self, list: &RuleList, latches: &mut Latches) -> String {
+    fn decided_by(&self, list: &RuleList, latches: &mut LoadHysteresis) -> String {
         list.decide(&self.0, latches).rule_name.to_string()
     }
 
     fn explained_by(&self, list: &RuleList) -> String {
-        let explanation = list.explain(&self.0, &mut Latches::new(list));
+        let explanation = list.explain(&self.0, &mut LoadHysteresis::new(list));
         let rules: String = explanation.rules.iter().map(|rule| format!("{rule}\n")).collect();
         format!("{rules}{:?}\n", explanation.outcome)
     }
@@ -62,7 +62,7 @@
 
 fn decided(text: &str, request: &Request) -> String {
     let list = RuleList::parse(text).expect("good list");
-    request.decided_by(&list, &mut Latches::new(&list))
+    request.decided_by(&list, &mut LoadHysteresis::new(&list))
 }
 
 #[test]
@@ -147,7 +147,7 @@
 #[test]
 fn load_that_swings_around_a_bound_does_not_switch_the_rule() {
     let list = RuleList::parse("[busy]\nwhen.load_above = 800\n[calm]\n").unwrap();
-    let mut latches = Latches::new(&list);
+    let mut latches = LoadHysteresis::new(&list);
     let loads = [790, 810, 790, 760, 750, 790, 801];
     let actual = loads.map(|load| {
         let request = Request::new("x", "2026-03-02T00:00:00Z").with_load(load);
@@ -231,7 +231,7 @@
             text += &format!("[r{index}]\n{}", conditions(*combination));
         }
         let list = RuleList::parse(&(text + "[rest]\n")).unwrap();
-        let mut latches = Latches::new(&list);
+        let mut latches = LoadHysteresis::new(&list);
         requests.iter().all(|(kind, second, load)| {
             let service = if kind % 2 == 0 { "x" } else { "y" };
             let mut request = Request::new(service, "2026-03-02T00:00:00Z").0;
@@ -240,7 +240,7 @@
             request.load = load.map(|load| Permille::new(u32::from(load % 1000)));
             let explained = list.explain(&request, &mut latches.clone());
             let decided = list.decide(&request, &mut latches);
-            explained.decided == *decided.rule_name && explained.outcome == *decided.outcome
+            explained.deciding_rule == *decided.rule_name && explained.outcome == *decided.outcome
         })
     }
     QuickCheck::new()
--- a/crates/rules/tests/service_index.rs
+++ b/crates/rules/tests/service_index.rs
@@ -2,7 +2,7 @@
 
 use jiff::Timestamp;
 use quickcheck::{Gen, QuickCheck};
-use shallotfork_rules::{Described, Latches, RuleList, RulePart, ServiceIndex};
+use shallotfork_rules::{LoadHysteresis, RequestContext, RuleList, ServiceIndex, ServiceRuleList};
 use shallotfork_types::{Permille, ServiceName};
 
 const SERVICES: [&str; 3] = ["cards", "orders", "sheets"];
@@ -11,10 +11,10 @@
     SERVICES[usize::from(pick) % SERVICES.len()].parse().expect("service name")
 }
 
-fn described(pick: u8, load: u16) -> Described {
+fn described(pick: u8, load: u16) -> RequestContext {
     let caller = pick.is_multiple_of(2).then(|| "batch".parse().expect("caller name"));
     let load = Some(Permille::new(u32::from(load % 1000)));
-    Described { caller, service: service(pick / 2), at: Timestamp::UNIX_EPOCH, load }
+    RequestContext { caller, service: service(pick / 2), at: Timestamp::UNIX_EPOCH, load }
 }
 
 /// One rule with conditions picked by the bits of a number.
@@ -38,8 +38,8 @@
     RuleList::parse(&(list("g", picks, true) + "[rest]\n")).expect("general list")
 }
 
-fn decided(list: &RuleList, request: &Described) -> String {
-    list.decide(request, &mut Latches::new(list)).rule_name.to_string()
+fn decided(list: &RuleList, request: &RequestContext) -> String {
+    list.decide(request, &mut LoadHysteresis::new(list)).rule_name.to_string()
 }
 
 #[test]
@@ -63,7 +63,7 @@
 fn rules_of_the_service_go_before_general_ones() {
     fn same(part: Vec<u8>, rules: Vec<u8>, requests: Vec<(u8, u16)>) -> bool {
         let text = list("p", &part, false);
-        let part = RulePart::parse(&text).expect("part");
+        let part = ServiceRuleList::parse(&text).expect("part");
         let index = ServiceIndex::new(&general(&rules));
         let joined = text + &list("g", &rules, true) + "[rest]\n";
         let joined = RuleList::parse(&joined).expect("joined list");
@@ -81,7 +81,7 @@
 
 #[test]
 fn a_last_rule_without_conditions_decides_for_the_service_alone() {
-    let part = RulePart::parse("[all]\nthen.deadline_ms = 9\n").expect("part");
+    let part = ServiceRuleList::parse("[all]\nthen.deadline_ms = 9\n").expect("part");
     let index = ServiceIndex::new(&general(&[2, 7]));
     let request = described(0, 999);
     assert_eq!("all", decided(&index.rules_for(&request.service, Some(&part)), &request));
@@ -90,7 +90,7 @@
 
 #[test]
 fn a_part_names_no_service_and_has_no_rule_out_of_reach() {
-    let errors = RulePart::parse("[a]\nwhen.service = cards\n[b]\n[c]\nwhen.caller = x\n")
+    let errors = ServiceRuleList::parse("[a]\nwhen.service = cards\n[b]\n[c]\nwhen.caller = x\n")
         .expect_err("three errors at least");
     let actual: Vec<String> = errors.iter().map(ToString::to_string).collect();
     let expected = vec![
--- a/crates/shallotctl/src/command/check.rs
+++ b/crates/shallotctl/src/command/check.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Context, Result};
 use serde::Serialize;
-use shallotfork_rules::{RuleError, RuleList, RulePart};
+use shallotfork_rules::{RuleError, RuleList, ServiceRuleList};
 
 use super::CheckConfig;
 use crate::exit::Exit;
@@ -33,7 +33,7 @@
     let text = fs::read_to_string(&config.file).with_context(|| format!("cannot read {path}"))?;
     let parsed = match config.service {
         None => RuleList::parse(&text).map(|list| list.rule_count()),
-        Some(_) => RulePart::parse(&text).map(|part| part.rule_count()),
+        Some(_) => ServiceRuleList::parse(&text).map(|part| part.rule_count()),
     };
     let exit = if parsed.is_ok() { Exit::Done } else { Exit::No };
     if config.json {
--- a/crates/shallotctl/src/command/explain.rs
+++ b/crates/shallotctl/src/command/explain.rs
@@ -6,8 +6,8 @@
 use anyhow::{Context, Result};
 use serde::Serialize;
 use shallotfork_rules::{
-    Described, Explanation, Latches, Outcome, RuleError, RuleList, RulePart, RuleTrace,
-    ServiceIndex, Unmet,
+    Explanation, LoadHysteresis, Outcome, RequestContext, RuleError, RuleList, RuleTrace,
+    ServiceIndex, ServiceRuleList, UnmetCondition,
 };
 use shallotfork_types::{ListName, ServiceName};
 
@@ -60,13 +60,13 @@
             return Ok(Exit::No);
         }
     };
-    let described = Described {
+    let request_context = RequestContext {
         caller: config.caller.clone(),
         service: config.service.clone(),
         at: config.at,
         load: config.load,
     };
-    let explanation = list.explain(&described, &mut Latches::new(&list));
+    let explanation = list.explain(&request_context, &mut LoadHysteresis::new(&list));
     if config.json {
         let json = ExplanationJson::from(&explanation);
         println!("{}", serde_json::to_string_pretty(&json)?);
@@ -107,7 +107,7 @@
 /// The rules as an entry would go through them.
 fn joined(texts: &Texts, service: &ServiceName) -> Result<RuleList, Vec<RuleError>> {
     let general = RuleList::parse(&texts.general)?;
-    let part = texts.part.as_deref().map(RulePart::parse).transpose()?;
+    let part = texts.part.as_deref().map(ServiceRuleList::parse).transpose()?;
     let Some(part) = part else { return Ok(general) };
     Ok(ServiceIndex::new(&general).rules_for(service, Some(&part)))
 }
@@ -137,7 +137,7 @@
 impl From<&Explanation> for ExplanationJson {
     fn from(explanation: &Explanation) -> Self {
         Self {
-            decided: explanation.decided.to_string(),
+            decided: explanation.deciding_rule.to_string(),
             outcome: OutcomeJson::from(&explanation.outcome),
             rules: explanation.rules.iter().map(RuleJson::from).collect(),
         }
@@ -166,9 +166,9 @@
     }
 }
 
-impl From<&Unmet> for UnmetJson {
-    fn from(unmet: &Unmet) -> Self {
-        let Unmet { key, wanted, found } = unmet.clone();
+impl From<&UnmetCondition> for UnmetJson {
+    fn from(unmet: &UnmetCondition) -> Self {
+        let UnmetCondition { key, wanted, found } = unmet.clone();
         Self { key, wanted, found }
     }
 }
--- a/crates/shallotd/src/control/lists.rs
+++ b/crates/shallotd/src/control/lists.rs
@@ -10,7 +10,7 @@
 use shallotfork_revisions::{
     ConflictWinner, Cursor, OfferOutcome, OfferedVersion, Tracker, Version,
 };
-use shallotfork_rules::{RuleError, RuleList, RulePart, ServiceIndex};
+use shallotfork_rules::{RuleError, RuleList, ServiceIndex, ServiceRuleList};
 use shallotfork_types::report::{AuditChange, AuditOutcome, ListStatus};
 use shallotfork_types::{ListName, ListsDigest, Mono, Revision, ServiceName};
 
@@ -35,7 +35,7 @@
     /// The general rule list, sorted by service.
     pub rules: Option<Arc<ServiceIndex>>,
     /// Rules of single services.
-    pub parts: BTreeMap<ServiceName, Arc<RulePart>>,
+    pub parts: BTreeMap<ServiceName, Arc<ServiceRuleList>>,
     /// Targets by service.
     pub targets: BTreeMap<ServiceName, Arc<Vec<TargetInfo>>>,
     /// The entry VMs with the revision of their list.
@@ -46,7 +46,7 @@
 /// A list in typed form.
 enum Checked {
     Rules(ServiceIndex),
-    ServiceRules(ServiceName, RulePart),
+    ServiceRules(ServiceName, ServiceRuleList),
     Targets(ServiceName, Vec<TargetInfo>),
     Vms(Vec<VmInfo>),
 }
@@ -177,7 +177,7 @@
         ListName::Rules => RuleList::parse(&published.content)
             .map(|list| Checked::Rules(ServiceIndex::new(&list)))
             .map_err(joined),
-        ListName::ServiceRules(service) => RulePart::parse(&published.content)
+        ListName::ServiceRules(service) => ServiceRuleList::parse(&published.content)
             .map(|part| Checked::ServiceRules(service.clone(), part))
             .map_err(joined),
         ListName::Targets(service) => parse_targets(service, &published.content)
--- a/crates/shallotd/src/control/publish.rs
+++ b/crates/shallotd/src/control/publish.rs
@@ -6,7 +6,7 @@
 use shallotfork_balance::{GroupSize, Policy, PoolConfig, PoolTarget, TargetState as PoolState};
 use shallotfork_membership::{EntryVm, service_group};
 use shallotfork_platform::{TargetInfo, TargetState};
-use shallotfork_rules::{RulePart, ServiceIndex};
+use shallotfork_rules::{ServiceIndex, ServiceRuleList};
 use shallotfork_types::{ServiceName, TargetId};
 
 use crate::context::Context;
@@ -127,7 +127,7 @@
 fn is_made_from(
     rules: &ServiceRules,
     index: &Arc<ServiceIndex>,
-    part: Option<&Arc<RulePart>>,
+    part: Option<&Arc<ServiceRuleList>>,
 ) -> bool {
     let same_part = match (&rules.part, part) {
         (Some(old), Some(new)) => Arc::ptr_eq(old, new),
--- a/crates/shallotd/src/snapshot.rs
+++ b/crates/shallotd/src/snapshot.rs
@@ -5,7 +5,7 @@
 
 use shallotfork_membership::EntryVm;
 use shallotfork_platform::TargetInfo;
-use shallotfork_rules::{Latches, RuleList, RulePart, ServiceIndex};
+use shallotfork_rules::{LoadHysteresis, RuleList, ServiceIndex, ServiceRuleList};
 use shallotfork_types::{ServiceName, TargetId};
 
 use crate::traffic::ServicePool;
@@ -15,11 +15,11 @@
     /// The general list.
     pub index: Arc<ServiceIndex>,
     /// The service's own list.
-    pub part: Option<Arc<RulePart>>,
+    pub part: Option<Arc<ServiceRuleList>>,
     /// Both joined, without rules of other services.
     pub list: RuleList,
     /// Which load conditions hold; new with every list.
-    pub latches: Mutex<Latches>,
+    pub load_hysteresis: Mutex<LoadHysteresis>,
 }
 
 impl ServiceRules {
@@ -27,11 +27,11 @@
     pub fn new(
         service: &ServiceName,
         index: Arc<ServiceIndex>,
-        part: Option<Arc<RulePart>>,
+        part: Option<Arc<ServiceRuleList>>,
     ) -> Self {
         let list = index.rules_for(service, part.as_deref());
-        let latches = Mutex::new(Latches::new(&list));
-        Self { index, part, list, latches }
+        let load_hysteresis = Mutex::new(LoadHysteresis::new(&list));
+        Self { index, part, list, load_hysteresis }
     }
 }
 
--- a/crates/shallotd/src/traffic/dispatch.rs
+++ b/crates/shallotd/src/traffic/dispatch.rs
@@ -14,7 +14,7 @@
 };
 use shallotfork_measure::LoadReport;
 use shallotfork_platform::TargetInfo;
-use shallotfork_rules::{Described, Outcome, Priority as RulePriority};
+use shallotfork_rules::{Outcome, Priority as RulePriority, RequestContext};
 use shallotfork_types::{Mono, TargetId, Verdict};
 
 use crate::context::Context;
@@ -105,14 +105,14 @@
     let Some(rules) = &service.rules else {
         return Err(not_run(StatusCode::SERVICE_UNAVAILABLE, "no rule list is in force yet"));
     };
-    let described = Described {
+    let request_context = RequestContext {
         caller: request.control.caller.clone(),
         service: request.service.clone(),
         at: jiff::Timestamp::now(),
         load: service.pool.load(),
     };
-    let mut latches = rules.latches.lock().unwrap_or_else(PoisonError::into_inner);
-    Ok(rules.list.decide(&described, &mut latches).outcome.clone())
+    let mut load_hysteresis = rules.load_hysteresis.lock().unwrap_or_else(PoisonError::into_inner);
+    Ok(rules.list.decide(&request_context, &mut load_hysteresis).outcome.clone())
 }
 
 /// The caller's own deadline, else the rule's, else the settings'; never above the settings' most.
--- a/crates/slopes/src/rules.rs
+++ b/crates/slopes/src/rules.rs
@@ -2,7 +2,7 @@
 
 use anyhow::{Result, bail};
 use jiff::Timestamp;
-use shallotfork_rules::{Described, Latches, RuleList};
+use shallotfork_rules::{LoadHysteresis, RequestContext, RuleList};
 use shallotfork_types::Permille;
 
 use crate::measure::{memory, time};
@@ -34,7 +34,7 @@
 /// # Errors
 /// When a list is not valid or memory cannot be read.
 pub fn rules() -> Result<()> {
-    let described = Described {
+    let request_context = RequestContext {
         caller: Some("caller-0".parse()?),
         service: "service-0".parse()?,
         at: Timestamp::now(),
@@ -45,9 +45,9 @@
         println!("| text of a rule list | {count} | {} | | | bytes |", text.len());
         time("check a rule list", count, || RuleList::parse(&text));
         let list = parse(&text)?;
-        let mut latches = Latches::new(&list);
+        let mut load_hysteresis = LoadHysteresis::new(&list);
         time("decide by the last rule", count, || {
-            list.decide(&described, &mut latches).outcome.clone()
+            list.decide(&request_context, &mut load_hysteresis).outcome.clone()
         });
     }
     Ok(())
