--- a/crates/ini/src/ini_error.rs
+++ b/crates/ini/src/ini_error.rs
@@ -1,14 +1,14 @@
-//! The error for text that is not INI.
+//! Error for a line that is not valid INI.
 
 use std::error::Error;
 use std::fmt;
 
-/// When a line is neither a section, an entry, a comment nor empty.
+/// A line that is not valid INI, or an entry before the first section.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IniError {
-    /// Line in the file, from 1.
+    /// Line number in the text, starting at 1.
     pub line: usize,
-    /// What is wrong with the line.
+    /// Why the line is invalid.
     pub reason: String,
 }
 
--- a/crates/ini/src/lib.rs
+++ b/crates/ini/src/lib.rs
@@ -1,8 +1,8 @@
-//! INI text as sections and entries that know their line.
+//! Parses INI text into sections and entries with line numbers.
 //!
-//! The settings and the rule lists are both INI. `rust-ini` reports the first error only and keeps
-//! no line numbers, so each line is handed to it on its own: every error is found in one pass, and
-//! a value cannot span lines.
+//! The settings and the rule lists are both INI. `rust-ini` reports only the first error and keeps
+//! no line numbers, so it parses each line separately: one pass finds every error, and a value
+//! cannot span lines.
 
 mod document;
 mod ini_error;
--- a/crates/ini/tests/document.rs
+++ b/crates/ini/tests/document.rs
@@ -1,10 +1,10 @@
-//! Reading INI text with line numbers.
+//! Tests of INI parsing with line numbers.
 
 use quickcheck::{Gen, QuickCheck};
 use shallotfork_ini::{Document, Entry, IniError, Section};
 
 #[test]
-fn entries_know_their_line() {
+fn sections_and_entries_have_line_numbers() {
     let text = "; comment\n[a]\nkey = value\n\n# other\n[b]\r\n  k: \"quoted = text\"\n[a]\n";
     let entry =
         |line, key: &str, value: &str| Entry { line, key: key.to_owned(), value: value.to_owned() };
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn every_bad_line_is_reported() {
+fn reports_every_invalid_line() {
     let actual: Vec<usize> = Document::parse("early = 1\n[a]\nno separator\n= no key\n[open\n")
         .unwrap_err()
         .into_iter()
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn any_text_is_read_without_panic() {
-    fn total(text: String) -> bool {
+fn arbitrary_text_does_not_panic() {
+    fn lines_are_in_range(text: String) -> bool {
         let lines = text.lines().count();
         match Document::parse(&text) {
             Ok(document) => document.sections.iter().all(|section| section.line <= lines),
@@ -40,5 +40,5 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(200, 11))
         .tests(2000)
-        .quickcheck(total as fn(String) -> bool);
+        .quickcheck(lines_are_in_range as fn(String) -> bool);
 }
