--- a/crates/rules/src/condition.rs
+++ b/crates/rules/src/condition.rs
@@ -1,33 +1,34 @@
-//! Conditions of a rule.
+//! Conditions of rules.
 
 use jiff::Zoned;
 use jiff::tz::TimeZone;
 use shallotfork_types::{CallerName, Permille, ServiceName};
 
 use crate::explanation::UnmetCondition;
-use crate::latches::Latch;
+use crate::load_hysteresis::LoadConditionState;
 use crate::{DayRange, RequestContext, TimeRange};
 
-/// One `when.` key; it holds when any of its values does.
+/// A condition stated by a `when.` key; holds if any of its values matches.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Condition {
-    /// The caller is one of these; never holds for a request that names no caller.
+    /// The caller is one of these; does not hold for a request without a caller name.
     Caller(Vec<CallerName>),
     /// The service is one of these.
     Service(Vec<ServiceName>),
-    /// The local time is in one of these ranges. An hour that a clock change skips does not occur,
-    /// and one that it repeats occurs twice.
+    /// The local time in the zone is in one of these ranges. Local times that a clock change skips
+    /// never match; those that it repeats match both times.
     Time(Vec<TimeRange>, TimeZone),
-    /// The local day is one of these; after midnight it is the new day.
+    /// The local day in the zone is in one of these ranges. The day changes at midnight, even
+    /// within a time range that spans midnight.
     Days(Vec<DayRange>, TimeZone),
-    /// The load is above this bound; never holds while the load is unknown.
+    /// The load is above this bound, with hysteresis; does not hold while the load is unknown.
     LoadAbove(Permille),
-    /// The load is below this bound; never holds while the load is unknown.
+    /// The load is below this bound, with hysteresis; does not hold while the load is unknown.
     LoadBelow(Permille),
 }
 
 impl Condition {
-    /// The key that states the condition.
+    /// Returns the key that states the condition.
     pub fn key(&self) -> &'static str {
         match self {
             Self::Caller(_) => "when.caller",
@@ -39,30 +40,30 @@
         }
     }
 
-    pub(crate) fn holds(&self, described: &RequestContext, latch: Latch) -> bool {
+    pub(crate) fn holds(&self, request: &RequestContext, load_state: LoadConditionState) -> bool {
         match self {
             Self::Caller(callers) => {
-                described.caller.as_ref().is_some_and(|caller| callers.contains(caller))
+                request.caller.as_ref().is_some_and(|caller| callers.contains(caller))
             }
-            Self::Service(services) => services.contains(&described.service),
+            Self::Service(services) => services.contains(&request.service),
             Self::Time(ranges, zone) => {
-                let time = local(described, zone).time();
+                let time = zoned(request, zone).time();
                 ranges.iter().any(|range| range.contains(time))
             }
-            Self::Days(days, zone) => {
-                let day = local(described, zone).weekday();
-                days.iter().any(|days| days.contains(day))
+            Self::Days(ranges, zone) => {
+                let day = zoned(request, zone).weekday();
+                ranges.iter().any(|range| range.contains(day))
             }
-            Self::LoadAbove(_) => latch.above,
-            Self::LoadBelow(_) => latch.below,
+            Self::LoadAbove(_) => load_state.is_above,
+            Self::LoadBelow(_) => load_state.is_below,
         }
     }
 
-    pub(crate) fn unmet(&self, described: &RequestContext) -> UnmetCondition {
+    pub(crate) fn unmet(&self, request: &RequestContext) -> UnmetCondition {
         UnmetCondition {
             key: self.key().to_owned(),
             wanted: self.wanted(),
-            found: self.found(described),
+            found: self.found(request),
         }
     }
 
@@ -71,33 +72,33 @@
             Self::Caller(callers) => join(callers),
             Self::Service(services) => join(services),
             Self::Time(ranges, zone) => format!("{} {}", join(ranges), zone_name(zone)),
-            Self::Days(days, zone) => format!("{} {}", join(days), zone_name(zone)),
+            Self::Days(ranges, zone) => format!("{} {}", join(ranges), zone_name(zone)),
             Self::LoadAbove(bound) => format!("above {bound}"),
             Self::LoadBelow(bound) => format!("below {bound}"),
         }
     }
 
-    fn found(&self, described: &RequestContext) -> String {
+    fn found(&self, request: &RequestContext) -> String {
         match self {
-            Self::Caller(_) => shown_or(described.caller.as_ref(), "no caller"),
-            Self::Service(_) => described.service.to_string(),
-            Self::Time(_, zone) => local(described, zone).strftime("%H:%M").to_string(),
-            Self::Days(_, zone) => local(described, zone).strftime("%a").to_string().to_lowercase(),
-            Self::LoadAbove(_) | Self::LoadBelow(_) => shown_or(described.load, "unknown"),
+            Self::Caller(_) => display_or(request.caller.as_ref(), "no caller"),
+            Self::Service(_) => request.service.to_string(),
+            Self::Time(_, zone) => zoned(request, zone).strftime("%H:%M").to_string(),
+            Self::Days(_, zone) => zoned(request, zone).strftime("%a").to_string().to_lowercase(),
+            Self::LoadAbove(_) | Self::LoadBelow(_) => display_or(request.load, "unknown"),
         }
     }
 }
 
-fn local(described: &RequestContext, zone: &TimeZone) -> Zoned {
-    described.at.to_zoned(zone.clone())
+fn zoned(request: &RequestContext, zone: &TimeZone) -> Zoned {
+    request.at.to_zoned(zone.clone())
 }
 
 fn zone_name(zone: &TimeZone) -> &str {
     zone.iana_name().unwrap_or("UTC")
 }
 
-fn shown_or(value: Option<impl ToString>, otherwise: &str) -> String {
-    value.map_or_else(|| otherwise.to_owned(), |value| value.to_string())
+fn display_or(value: Option<impl ToString>, default: &str) -> String {
+    value.map_or_else(|| default.to_owned(), |value| value.to_string())
 }
 
 fn join<T: ToString>(values: &[T]) -> String {
--- a/crates/rules/src/days.rs
+++ b/crates/rules/src/day_range.rs
@@ -1,4 +1,4 @@
-//! DayRange of the week.
+//! Ranges of days of the week.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,14 +6,14 @@
 use jiff::civil::Weekday;
 use shallotfork_types::ParseError;
 
-/// One day, `sat`, or a run of days, `mon-fri`, which may pass the end of the week.
+/// One day (`sat`) or an inclusive range (`mon-fri`), which may span the end of the week.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DayRange {
     first: Weekday,
     last: Weekday,
 }
 
-const NAMES: [(&str, Weekday); 7] = [
+const DAY_NAMES: [(&str, Weekday); 7] = [
     ("mon", Weekday::Monday),
     ("tue", Weekday::Tuesday),
     ("wed", Weekday::Wednesday),
@@ -24,26 +24,26 @@
 ];
 
 impl DayRange {
-    /// Whether `day` is one of them.
+    /// Returns whether `day` is in the range.
     pub fn contains(self, day: Weekday) -> bool {
         self.first.until(day) <= self.first.until(self.last)
     }
 }
 
-fn day(text: &str) -> Option<Weekday> {
-    NAMES.iter().find(|(name, _)| *name == text).map(|(_, day)| *day)
+fn parse_day(text: &str) -> Option<Weekday> {
+    DAY_NAMES.iter().find(|(name, _)| *name == text).map(|(_, day)| *day)
 }
 
-fn name(day: Weekday) -> &'static str {
-    NAMES.iter().find(|(_, known)| *known == day).map_or("", |(name, _)| name)
+fn day_name(day: Weekday) -> &'static str {
+    DAY_NAMES.iter().find(|(_, weekday)| *weekday == day).map_or("", |(name, _)| name)
 }
 
 impl fmt::Display for DayRange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.first == self.last {
-            return f.write_str(name(self.first));
+            return f.write_str(day_name(self.first));
         }
-        write!(f, "{}-{}", name(self.first), name(self.last))
+        write!(f, "{}-{}", day_name(self.first), day_name(self.last))
     }
 }
 
@@ -52,7 +52,7 @@
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
         let (first, last) = text.split_once('-').unwrap_or((text, text));
-        match (day(first), day(last)) {
+        match (parse_day(first), parse_day(last)) {
             (Some(first), Some(last)) => Ok(Self { first, last }),
             _ => Err(ParseError::new("days such as sat or mon-fri", text)),
         }
--- a/crates/rules/src/explanation.rs
+++ b/crates/rules/src/explanation.rs
@@ -1,4 +1,4 @@
-//! Why a rule decided.
+//! Explanation of a rule decision.
 
 use std::fmt;
 
@@ -7,33 +7,33 @@
 /// A condition that did not hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnmetCondition {
-    /// Key of the condition.
+    /// Key that states the condition.
     pub key: String,
-    /// What it asks for.
+    /// Values that the condition requires.
     pub wanted: String,
-    /// What the request had.
+    /// Actual value of the request.
     pub found: String,
 }
 
-/// What became of one rule.
+/// The evaluation of one rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RuleTrace {
-    /// The rule.
+    /// Name of the rule.
     pub name: RuleName,
-    /// Line of its section.
+    /// Line number of the rule's section, starting at 1.
     pub line: usize,
     /// Conditions that did not hold; empty for the rule that decides.
     pub unmet: Vec<UnmetCondition>,
 }
 
-/// Each rule in turn, down to the one that decides.
+/// The evaluation of each rule, up to the one that decides the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Explanation {
-    /// Rules in order; the last one decides.
+    /// Evaluated rules in the order of the list; the last one decides.
     pub rules: Vec<RuleTrace>,
-    /// The rule that decides.
+    /// Name of the rule that decides.
     pub deciding_rule: RuleName,
-    /// What applies.
+    /// Outcome of the deciding rule.
     pub outcome: Outcome,
 }
 
--- a/crates/rules/src/outcome.rs
+++ b/crates/rules/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a rule applies to the requests that it decides.
+//! Outcomes of rules.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,20 +6,20 @@
 
 use shallotfork_types::{FailureDomain, ParseError};
 
-/// How a request is served.
+/// How a request that a rule decides is served.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome {
-    /// Failure domains whose targets are tried first, best first.
+    /// Failure domains whose targets are tried first, in descending order of preference.
     pub prefer: Vec<FailureDomain>,
-    /// Deadline of requests that name none; `None` leaves it to the settings.
+    /// Deadline of requests that state none; `None` applies the default of the settings.
     pub deadline: Option<Duration>,
-    /// Further attempts after one that is proved not to have run.
+    /// Maximum number of further attempts, each made only after one that is proved not to have run.
     pub retries: u32,
-    /// Whether an idempotent request may have a second attempt while the first one runs.
+    /// Whether an idempotent request may get a second attempt while the first one runs.
     pub hedge: bool,
-    /// Who goes first when targets are busy.
+    /// Priority among waiting requests while targets are busy.
     pub priority: Priority,
-    /// Refusal without an attempt.
+    /// Response that rejects the request without an attempt.
     pub refuse: Option<Refusal>,
 }
 
@@ -36,17 +36,17 @@
     }
 }
 
-/// Attempts after the first one when a rule names no number.
+/// Number of attempts after the first one, for rules without `then.retries`.
 const DEFAULT_RETRIES: u32 = 1;
 
-/// Order among waiting requests; when not all can be served, low ones are refused first.
+/// Priority of a waiting request; when not all can be served, those of low priority are shed first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
-    /// Refused first.
+    /// Shed first.
     Low,
     /// The default.
     Normal,
-    /// Refused last.
+    /// Shed last.
     High,
 }
 
@@ -73,11 +73,11 @@
     }
 }
 
-/// The answer to a request that is refused without an attempt.
+/// The response to a request that a rule rejects without an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
     /// HTTP status, 400 to 599.
     pub status: u16,
-    /// When the caller may come back, if waiting helps.
+    /// Time after which the caller may retry; `None` if waiting does not help.
     pub retry_after: Option<Duration>,
 }
--- a/crates/rules/src/parser.rs
+++ b/crates/rules/src/parser.rs
@@ -1,4 +1,4 @@
-//! INI text to a rule list.
+//! Parser for rule lists in INI text.
 
 mod conditions;
 mod outcome;
@@ -11,40 +11,40 @@
 use crate::section_reader::SectionReader;
 use crate::{Rule, RuleError, RuleList, ServiceRuleList};
 
-/// Rules in one list; more are refused, to bound the time that a decision takes.
+/// Maximum number of rules in a list; bounds the time that a decision takes.
 const MAX_RULES: usize = 2000;
 
-/// Longest text; the platform holds no longer value.
+/// Maximum length of a list; the platform does not store longer values.
 const MAX_TEXT_BYTES: usize = 1024 * 1024;
 
 pub(crate) fn parse(text: &str) -> Result<RuleList, Vec<RuleError>> {
-    let rules = read(text, |sections| misplaced_fallback(sections).into_iter().collect())?;
-    with_fallback(rules).ok_or_else(|| vec![whole_list("no rules")])
+    let rules = read_rules(text, |sections| misplaced_fallback(sections).into_iter().collect())?;
+    into_rule_list(rules).ok_or_else(|| vec![list_error("no rules")])
 }
 
-pub(crate) fn parse_part(text: &str) -> Result<ServiceRuleList, Vec<RuleError>> {
+pub(crate) fn parse_service_list(text: &str) -> Result<ServiceRuleList, Vec<RuleError>> {
     let check = |sections: &[Section]| {
-        let mut errors = service_keys(sections);
-        errors.extend(unreached(sections));
+        let mut errors = service_key_errors(sections);
+        errors.extend(unreachable_rule(sections));
         errors
     };
-    Ok(ServiceRuleList::new(read(text, check)?))
+    Ok(ServiceRuleList::new(read_rules(text, check)?))
 }
 
-/// Reads all rules; `check` looks at them as a whole.
-fn read(
+/// Reads all rules; `check` returns the errors that concern the list as a whole.
+fn read_rules(
     text: &str,
     check: impl Fn(&[Section]) -> Vec<RuleError>,
 ) -> Result<Vec<Arc<Rule>>, Vec<RuleError>> {
     if text.len() > MAX_TEXT_BYTES {
-        return Err(vec![whole_list("over 1 MiB")]);
+        return Err(vec![list_error("list exceeds 1 MiB")]);
     }
     let document = Document::parse(text).map_err(into_rule_errors)?;
     let sections = &document.sections;
     if sections.len() > MAX_RULES {
-        return Err(vec![whole_list("over 2000 rules")]);
+        return Err(vec![list_error("list exceeds 2000 rules")]);
     }
-    let mut errors = repeated_names(sections);
+    let mut errors = duplicate_names(sections);
     let rules: Vec<Option<Rule>> =
         sections.iter().map(|section| read_rule(section, &mut errors)).collect();
     errors.extend(check(sections));
@@ -64,21 +64,21 @@
     errors.into_iter().map(RuleError::from).collect()
 }
 
-fn whole_list(reason: &str) -> RuleError {
+fn list_error(reason: &str) -> RuleError {
     RuleError::new(1, "", "", reason)
 }
 
-fn with_fallback(mut rules: Vec<Arc<Rule>>) -> Option<RuleList> {
+fn into_rule_list(mut rules: Vec<Arc<Rule>>) -> Option<RuleList> {
     let fallback = rules.pop()?;
     Some(RuleList::new(rules, fallback))
 }
 
-fn repeated_names(sections: &[Section]) -> Vec<RuleError> {
+fn duplicate_names(sections: &[Section]) -> Vec<RuleError> {
     let mut first_lines = HashMap::new();
     let mut errors = Vec::new();
     for Section { line, name, .. } in sections {
         if let Some(first) = first_lines.get(name) {
-            let reason = format_args!("repeats the name of the rule in line {first}");
+            let reason = format_args!("rule name is already used on line {first}");
             errors.push(RuleError::new(*line, name, "", reason));
             continue;
         }
@@ -91,23 +91,23 @@
     section.entries.iter().any(|entry| entry.key.starts_with("when."))
 }
 
-/// Exactly one rule has no conditions, and it stands last.
+/// Checks that exactly one rule has no conditions and that it is the last one.
 fn misplaced_fallback(sections: &[Section]) -> Option<RuleError> {
     let Some(last) = sections.last() else {
-        return Some(whole_list("no rules"));
+        return Some(list_error("no rules"));
     };
     if sections.iter().all(is_conditional) {
         let reason = "the last rule must have no when. keys, so that some rule always decides";
         return Some(RuleError::new(last.line, &last.name, "", reason));
     }
-    unreached(sections)
+    unreachable_rule(sections)
 }
 
-/// In a list for one service the service is given by the list's name.
-fn service_keys(sections: &[Section]) -> Vec<RuleError> {
+/// Rejects `when.service` in a list for one service, whose name already gives the service.
+fn service_key_errors(sections: &[Section]) -> Vec<RuleError> {
     let mut errors = Vec::new();
     for section in sections {
-        for entry in section.entries.iter().filter(|entry| entry.key == conditions::SERVICE) {
+        for entry in section.entries.iter().filter(|entry| entry.key == conditions::SERVICE_KEY) {
             let reason = "not allowed in a list for one service";
             errors.push(RuleError::new(entry.line, &section.name, &entry.key, reason));
         }
@@ -115,11 +115,11 @@
     errors
 }
 
-/// Rules below one without conditions.
-fn unreached(sections: &[Section]) -> Option<RuleError> {
+/// Finds the first rule below one without conditions, which decides every request.
+fn unreachable_rule(sections: &[Section]) -> Option<RuleError> {
     let fallback = sections.iter().find(|section| !is_conditional(section))?;
     let next = sections.iter().find(|section| section.line > fallback.line)?;
-    let reason = format_args!("never reached: [{}] above has no when. keys", fallback.name);
+    let reason = format_args!("unreachable: [{}] above has no when. keys", fallback.name);
     Some(RuleError::new(next.line, &next.name, "", reason))
 }
 
--- a/crates/rules/src/parser/conditions.rs
+++ b/crates/rules/src/parser/conditions.rs
@@ -1,4 +1,4 @@
-//! `when.` keys.
+//! Parser for the `when.` keys of a rule.
 
 use std::sync::LazyLock;
 
@@ -8,11 +8,11 @@
 use crate::section_reader::SectionReader;
 
 /// Key of the condition on the service.
-pub(crate) const SERVICE: &str = "when.service";
+pub(crate) const SERVICE_KEY: &str = "when.service";
 
 pub(crate) const KEYS: &[&str] = &[
     "when.caller",
-    SERVICE,
+    SERVICE_KEY,
     "when.time",
     "when.days",
     "when.zone",
@@ -20,57 +20,57 @@
     "when.load_below",
 ];
 
-/// The zones that are built into the program, so that every machine knows the same ones.
-static ZONES: LazyLock<TimeZoneDatabase> = LazyLock::new(TimeZoneDatabase::bundled);
+/// Time zones built into the program, so that every machine has the same ones.
+static TIME_ZONES: LazyLock<TimeZoneDatabase> = LazyLock::new(TimeZoneDatabase::bundled);
 
-/// Highest bound of a load: twice as many requests as slots.
-const MAX_LOAD: u32 = 2000;
+/// Highest bound of a load condition, in permille: twice as many requests as slots.
+const MAX_LOAD_PERMILLE: u32 = 2000;
 
-/// Reads the conditions; those with an error are reported and left out.
+/// Reads the conditions; reports those with an error and leaves them out.
 pub(crate) fn read(reader: &mut SectionReader<'_>) -> Vec<Condition> {
     let mut conditions = Vec::new();
     conditions.extend(reader.values("when.caller").map(Condition::Caller));
-    conditions.extend(reader.values(SERVICE).map(Condition::Service));
-    conditions.extend(clock(reader));
-    conditions.extend(load(reader));
+    conditions.extend(reader.values(SERVICE_KEY).map(Condition::Service));
+    conditions.extend(time_conditions(reader));
+    conditions.extend(load_conditions(reader));
     conditions
 }
 
-fn clock(reader: &mut SectionReader<'_>) -> Vec<Condition> {
-    let zone = zone(reader);
-    let ranges = reader.values("when.time");
-    let days = reader.values("when.days");
+fn time_conditions(reader: &mut SectionReader<'_>) -> Vec<Condition> {
+    let zone = time_zone(reader);
+    let time_ranges = reader.values("when.time");
+    let day_ranges = reader.values("when.days");
     let Some(zone) = zone else { return Vec::new() };
-    let time = ranges.map(|ranges| Condition::Time(ranges, zone.clone()));
-    let days = days.map(|days| Condition::Days(days, zone));
+    let time = time_ranges.map(|ranges| Condition::Time(ranges, zone.clone()));
+    let days = day_ranges.map(|ranges| Condition::Days(ranges, zone));
     time.into_iter().chain(days).collect()
 }
 
-fn zone(reader: &mut SectionReader<'_>) -> Option<TimeZone> {
+fn time_zone(reader: &mut SectionReader<'_>) -> Option<TimeZone> {
     let needed = reader.has("when.time") || reader.has("when.days");
     match (needed, reader.value::<String>("when.zone")) {
         (true, None) => {
-            reader.reject("when.zone", "missing; when.time and when.days need a zone");
+            reader.reject("when.zone", "missing; required by when.time and when.days");
             None
         }
         (false, Some(_)) => {
-            reader.reject("when.zone", "of no use without when.time or when.days");
+            reader.reject("when.zone", "has no effect without when.time or when.days");
             None
         }
         (_, name) => {
-            let zone = ZONES.get(&name?);
-            zone.map_err(|_| reader.reject("when.zone", "unknown zone")).ok()
+            let zone = TIME_ZONES.get(&name?);
+            zone.map_err(|_| reader.reject("when.zone", "unknown time zone")).ok()
         }
     }
 }
 
-fn load(reader: &mut SectionReader<'_>) -> Vec<Condition> {
-    let above = reader.number("when.load_above", 0, MAX_LOAD);
-    let below = reader.number("when.load_below", 1, MAX_LOAD);
+fn load_conditions(reader: &mut SectionReader<'_>) -> Vec<Condition> {
+    let above = reader.number("when.load_above", 0, MAX_LOAD_PERMILLE);
+    let below = reader.number("when.load_below", 1, MAX_LOAD_PERMILLE);
     if let (Some(above), Some(below)) = (above, below)
         && above >= below
     {
-        reader.reject("when.load_below", "never holds together with when.load_above");
+        reader.reject("when.load_below", "can never hold together with when.load_above");
     }
     let above = above.map(|bound| Condition::LoadAbove(shallotfork_types::Permille::new(bound)));
     let below = below.map(|bound| Condition::LoadBelow(shallotfork_types::Permille::new(bound)));
--- a/crates/rules/src/parser/outcome.rs
+++ b/crates/rules/src/parser/outcome.rs
@@ -1,4 +1,4 @@
-//! `then.` keys.
+//! Parser for the `then.` keys of a rule.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     "then.retry_after_ms",
 ];
 
-/// Keys that say how an attempt is made, which a refused request never gets.
+/// Keys that control attempts; a rejected request has none.
 const ATTEMPT_KEYS: [&str; 5] =
     ["then.prefer", "then.deadline_ms", "then.retries", "then.hedge", "then.priority"];
 
@@ -23,7 +23,7 @@
 const MAX_RETRIES: u32 = 10;
 const MAX_RETRY_AFTER_MS: u32 = 86_400_000;
 
-/// Reads the outcome; keys that are absent or wrong take their default.
+/// Reads the outcome; absent and invalid keys take their default.
 pub(crate) fn read(reader: &mut SectionReader<'_>) -> Outcome {
     let default = Outcome::default();
     Outcome {
@@ -56,13 +56,13 @@
     let retry_after = reader.number("then.retry_after_ms", 1, MAX_RETRY_AFTER_MS).map(millis);
     if !reader.has("then.refuse") {
         if reader.has("then.retry_after_ms") {
-            reader.reject("then.retry_after_ms", "of no use without then.refuse");
+            reader.reject("then.retry_after_ms", "has no effect without then.refuse");
         }
         return None;
     }
     for key in ATTEMPT_KEYS {
         if reader.has(key) {
-            reader.reject(key, "of no use together with then.refuse");
+            reader.reject(key, "has no effect together with then.refuse");
         }
     }
     let status = u16::try_from(status?).ok()?;
--- a/crates/rules/src/described.rs
+++ b/crates/rules/src/request_context.rs
@@ -1,17 +1,17 @@
-//! What rules are matched against.
+//! Input of a rule decision.
 
 use jiff::Timestamp;
 use shallotfork_types::{CallerName, Permille, ServiceName};
 
-/// A request as the rules see it.
+/// The properties of a request, and of its service, that rules are matched against.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestContext {
-    /// Who sends it, if the request says so.
+    /// Caller name, if the request states one.
     pub caller: Option<CallerName>,
-    /// The service that it asks for.
+    /// The requested service.
     pub service: ServiceName,
     /// Wall-clock time of the decision.
     pub at: Timestamp,
-    /// Share of the service's slots in use; `None` when no target's load is known.
+    /// Share of the service's slots in use; `None` if no target's load is known.
     pub load: Option<Permille>,
 }
--- a/crates/rules/src/rule.rs
+++ b/crates/rules/src/rule.rs
@@ -1,4 +1,4 @@
-//! One rule.
+//! Rules and their names.
 
 use std::fmt;
 use std::str::FromStr;
@@ -23,23 +23,26 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let fits = !text.is_empty() && text.chars().count() <= MAX_NAME_CHARS;
-        if !fits || text.chars().any(char::is_control) {
-            return Err(ParseError::new("a rule name of 1 to 64 characters", text));
+        let has_valid_length = !text.is_empty() && text.chars().count() <= MAX_NAME_CHARS;
+        if !has_valid_length || text.chars().any(char::is_control) {
+            return Err(ParseError::new(
+                "a rule name of 1 to 64 characters without control characters",
+                text,
+            ));
         }
         Ok(Self(text.to_owned()))
     }
 }
 
-/// Conditions that must all hold, and the outcome that then applies.
+/// A list of conditions and the outcome that applies when they all hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rule {
     /// Name of the rule.
     pub name: RuleName,
-    /// Line of its section, from 1.
+    /// Line number of the rule's section, starting at 1.
     pub line: usize,
-    /// Conditions; a rule without any decides every request that reaches it.
+    /// Conditions of the rule; without any, it decides every request that no rule above it decides.
     pub conditions: Vec<Condition>,
-    /// What applies.
+    /// Outcome for the requests that the rule decides.
     pub outcome: Outcome,
 }
--- a/crates/rules/src/rule_error.rs
+++ b/crates/rules/src/rule_error.rs
@@ -1,20 +1,20 @@
-//! The error for a rule list.
+//! Error for an invalid rule list.
 
 use std::error::Error;
 use std::fmt;
 
 use shallotfork_ini::IniError;
 
-/// When a rule list cannot take effect.
+/// A fault in a rule list, which is then rejected as a whole.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RuleError {
-    /// Line in the text, from 1.
+    /// Line number in the text, starting at 1.
     pub line: usize,
-    /// Name of the rule; empty when the error is not within one.
+    /// Name of the rule; empty if the error is outside any rule.
     pub rule: String,
-    /// Key; empty when the error concerns the rule as a whole.
+    /// Key; empty if the error does not concern a single key.
     pub key: String,
-    /// What is wrong.
+    /// Description of the fault.
     pub reason: String,
 }
 
--- a/crates/rules/src/rule_list.rs
+++ b/crates/rules/src/rule_list.rs
@@ -1,4 +1,4 @@
-//! The rules in order.
+//! Rule lists and their decisions.
 
 use std::sync::Arc;
 
@@ -7,32 +7,32 @@
     Explanation, LoadHysteresis, Outcome, RequestContext, Rule, RuleError, RuleName, RuleTrace,
 };
 
-/// A checked list: rules with conditions, then one without that decides whatever reaches it.
+/// A valid rule list: rules with conditions, followed by a fallback rule without any.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RuleList {
     conditional: Vec<Arc<Rule>>,
     fallback: Arc<Rule>,
 }
 
-/// Which rule decides a request.
+/// The rule that decides a request, and its outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RuleDecision<'a> {
     /// Name of the rule.
     pub rule_name: &'a RuleName,
-    /// What applies.
+    /// Outcome of the rule.
     pub outcome: &'a Outcome,
 }
 
 impl RuleList {
-    /// Reads a list from INI text.
+    /// Parses a list from INI text.
     ///
     /// # Errors
-    /// Everything that is wrong, in the order of the text.
+    /// Returns all errors found, ordered by line.
     pub fn parse(text: &str) -> Result<Self, Vec<RuleError>> {
         parser::parse(text)
     }
 
-    /// Every key that a rule may have, in the order of the documentation.
+    /// Returns every key that a rule may have, in the order of the documentation.
     pub fn keys() -> impl Iterator<Item = &'static str> {
         parser::keys()
     }
@@ -41,12 +41,12 @@
         Self { conditional, fallback }
     }
 
-    /// Number of rules.
+    /// Returns the number of rules, including the fallback rule.
     pub fn rule_count(&self) -> usize {
         self.conditional.len() + 1
     }
 
-    /// Every rule in order.
+    /// Returns every rule in order, the fallback rule last.
     pub fn rules(&self) -> impl Iterator<Item = &Rule> {
         self.conditional.iter().chain([&self.fallback]).map(Arc::as_ref)
     }
@@ -59,32 +59,39 @@
         &self.fallback
     }
 
-    /// The first rule whose conditions all hold.
+    /// Returns the first rule whose conditions all hold.
     ///
-    /// `latches` belong to this list and to the request's service; they take in the load first.
+    /// `load_hysteresis` must belong to this list and to the request's service; it is updated with
+    /// the load before the rules are evaluated.
     pub fn decide(
         &self,
-        described: &RequestContext,
-        latches: &mut LoadHysteresis,
+        request: &RequestContext,
+        load_hysteresis: &mut LoadHysteresis,
     ) -> RuleDecision<'_> {
-        latches.observe(&self.conditional, described.load);
-        let decides = |(index, rule): &(usize, &Arc<Rule>)| {
-            let latch = latches.of(*index);
-            rule.conditions.iter().all(|condition| condition.holds(described, latch))
+        load_hysteresis.observe(&self.conditional, request.load);
+        let matches = |(index, rule): &(usize, &Arc<Rule>)| {
+            let load_state = load_hysteresis.state_of(*index);
+            rule.conditions.iter().all(|condition| condition.holds(request, load_state))
         };
-        let found = self.conditional.iter().enumerate().find(decides);
-        let rule = found.map_or(&self.fallback, |(_, rule)| rule);
+        let matched = self.conditional.iter().enumerate().find(matches);
+        let rule = matched.map_or(&self.fallback, |(_, rule)| rule);
         RuleDecision { rule_name: &rule.name, outcome: &rule.outcome }
     }
 
-    /// Each rule in turn, which of its conditions do not hold, and which rule decides.
-    pub fn explain(&self, described: &RequestContext, latches: &mut LoadHysteresis) -> Explanation {
-        latches.observe(&self.conditional, described.load);
+    /// Evaluates the rules as [`Self::decide`] does and returns the unmet conditions of each rule,
+    /// up to the deciding one.
+    pub fn explain(
+        &self,
+        request: &RequestContext,
+        load_hysteresis: &mut LoadHysteresis,
+    ) -> Explanation {
+        load_hysteresis.observe(&self.conditional, request.load);
         let mut rules = Vec::new();
         for (index, rule) in self.rules().enumerate() {
-            let latch = latches.of(index);
-            let failed = rule.conditions.iter().filter(|c| !c.holds(described, latch));
-            let unmet: Vec<_> = failed.map(|condition| condition.unmet(described)).collect();
+            let load_state = load_hysteresis.state_of(index);
+            let unmet =
+                rule.conditions.iter().filter(|condition| !condition.holds(request, load_state));
+            let unmet: Vec<_> = unmet.map(|condition| condition.unmet(request)).collect();
             let decides = unmet.is_empty();
             rules.push(RuleTrace { name: rule.name.clone(), line: rule.line, unmet });
             if decides {
@@ -95,6 +102,10 @@
     }
 }
 
-fn explanation(rules: Vec<RuleTrace>, decider: &Rule) -> Explanation {
-    Explanation { rules, deciding_rule: decider.name.clone(), outcome: decider.outcome.clone() }
+fn explanation(rules: Vec<RuleTrace>, deciding_rule: &Rule) -> Explanation {
+    Explanation {
+        rules,
+        deciding_rule: deciding_rule.name.clone(),
+        outcome: deciding_rule.outcome.clone(),
+    }
 }
--- a/crates/rules/src/section_reader.rs
+++ b/crates/rules/src/section_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the values of one rule and collects every error.
+//! Reads the values of a rule's section and collects every error.
 
 use std::fmt::Display;
 use std::str::FromStr;
@@ -7,10 +7,10 @@
 
 use crate::RuleError;
 
-/// Values in one key; more are refused, to bound the time that a decision takes.
+/// Maximum number of values in a key; bounds the time that a decision takes.
 const MAX_VALUES: usize = 64;
 
-/// Hands out the values of a section and remembers what was wrong.
+/// Reads typed values from a section and collects the errors.
 pub(crate) struct SectionReader<'a> {
     section: &'a Section,
     errors: Vec<RuleError>,
@@ -34,7 +34,7 @@
         self.entry(key).is_some()
     }
 
-    /// Reports keys that are unknown or repeated.
+    /// Reports unknown and repeated keys.
     pub(crate) fn check_keys(&mut self, known: &[&str]) {
         let mut seen: Vec<&str> = Vec::new();
         for Entry { line, key, .. } in &self.section.entries {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// One value; `None` when the key is absent or was reported.
+    /// Reads one value; returns `None` if the key is absent or its error was reported.
     pub(crate) fn value<T>(&mut self, key: &str) -> Option<T>
     where
         T: FromStr<Err: Display>,
@@ -59,27 +59,28 @@
         text.parse().map_err(|error| self.reject(key, error)).ok()
     }
 
-    /// One whole number within bounds.
-    pub(crate) fn number(&mut self, key: &str, least: u32, most: u32) -> Option<u32> {
+    /// Reads a whole number from `min` to `max`; returns `None` as [`Self::value`] does.
+    pub(crate) fn number(&mut self, key: &str, min: u32, max: u32) -> Option<u32> {
         let text = self.entry(key)?.value.as_str();
-        let number = text.parse().ok().filter(|number| (least..=most).contains(number));
+        let number = text.parse().ok().filter(|number| (min..=max).contains(number));
         if number.is_none() {
-            self.reject(key, format_args!("expected a whole number, {least} to {most}"));
+            self.reject(key, format_args!("expected a whole number, {min} to {max}"));
         }
         number
     }
 
-    /// Values separated by commas; `None` when the key is absent or was reported.
+    /// Reads comma-separated values; returns `None` as [`Self::value`] does.
     pub(crate) fn values<T>(&mut self, key: &str) -> Option<Vec<T>>
     where
         T: FromStr<Err: Display>,
     {
         let text = self.entry(key)?.value.as_str();
         if text.split(',').count() > MAX_VALUES {
-            self.reject(key, format_args!("over {MAX_VALUES} values"));
+            self.reject(key, format_args!("more than {MAX_VALUES} values"));
             return None;
         }
-        let values: Result<Vec<T>, T::Err> = text.split(',').map(|v| v.trim().parse()).collect();
+        let values: Result<Vec<T>, T::Err> =
+            text.split(',').map(|value| value.trim().parse()).collect();
         values.map_err(|error| self.reject(key, error)).ok()
     }
 
--- a/crates/rules/src/time_range.rs
+++ b/crates/rules/src/time_range.rs
@@ -1,4 +1,4 @@
-//! Times of day.
+//! Ranges of times of day.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,7 +9,7 @@
 const MINUTES_PER_HOUR: u16 = 60;
 const MINUTES_PER_DAY: u16 = 24 * MINUTES_PER_HOUR;
 
-/// From one time of day, included, to another, excluded; `22:00-04:00` passes midnight.
+/// A range of times of day: the start is included, the end excluded; `22:00-04:00` spans midnight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimeRange {
     from_minutes: u16,
@@ -17,9 +17,9 @@
 }
 
 impl TimeRange {
-    /// Whether `time` is in the range.
+    /// Returns whether `time` is in the range.
     pub fn contains(self, time: Time) -> bool {
-        let minutes = minutes(time);
+        let minutes = minutes_since_midnight(time);
         if self.from_minutes < self.to_minutes {
             return (self.from_minutes..self.to_minutes).contains(&minutes);
         }
@@ -27,27 +27,27 @@
     }
 }
 
-fn minutes(time: Time) -> u16 {
+fn minutes_since_midnight(time: Time) -> u16 {
     let hours = u16::from(time.hour().unsigned_abs());
     hours * MINUTES_PER_HOUR + u16::from(time.minute().unsigned_abs())
 }
 
-/// Reads `HH:MM`; `24:00` is the end of the day.
+/// Parses `HH:MM` into minutes since midnight; `24:00` is the end of the day.
 fn parse_minutes(text: &str) -> Option<u16> {
     if text == "24:00" {
         return Some(MINUTES_PER_DAY);
     }
-    let written_in_full = text.len() == "HH:MM".len();
-    let time = Time::strptime("%H:%M", text).ok().filter(|_| written_in_full)?;
-    Some(minutes(time))
+    let has_full_length = text.len() == "HH:MM".len();
+    let time = Time::strptime("%H:%M", text).ok().filter(|_| has_full_length)?;
+    Some(minutes_since_midnight(time))
 }
 
 impl fmt::Display for TimeRange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (from, to) = (self.from_minutes, self.to_minutes);
         let hour = |minutes| minutes / MINUTES_PER_HOUR;
-        let rest = |minutes| minutes % MINUTES_PER_HOUR;
-        write!(f, "{:02}:{:02}-{:02}:{:02}", hour(from), rest(from), hour(to), rest(to))
+        let minute = |minutes| minutes % MINUTES_PER_HOUR;
+        write!(f, "{:02}:{:02}-{:02}:{:02}", hour(from), minute(from), hour(to), minute(to))
     }
 }
 
@@ -59,8 +59,8 @@
         let (from, to) = text.split_once('-').ok_or_else(expected)?;
         let from_minutes = parse_minutes(from).ok_or_else(expected)?;
         let to_minutes = parse_minutes(to).ok_or_else(expected)?;
-        let begins_today = from_minutes < MINUTES_PER_DAY;
-        if from_minutes == to_minutes || !begins_today {
+        let starts_before_end_of_day = from_minutes < MINUTES_PER_DAY;
+        if from_minutes == to_minutes || !starts_before_end_of_day {
             return Err(expected());
         }
         Ok(Self { from_minutes, to_minutes })
--- a/crates/rules/tests/rule_list.rs
+++ b/crates/rules/tests/rule_list.rs
@@ -1,11 +1,11 @@
-//! Rule lists, good and bad, and what they decide.
+//! Parsing of valid and invalid rule lists, and their decisions.
 
 use jiff::Timestamp;
 use quickcheck::{Gen, QuickCheck};
 use shallotfork_rules::{LoadHysteresis, RequestContext, RuleList};
 use shallotfork_types::Permille;
 
-const MORNING: &str = "\
+const RULES: &str = "\
 [morning-orders]
 when.service = orders
 when.time = 06:00-11:00
@@ -44,11 +44,11 @@
         self
     }
 
-    fn decided_by(&self, list: &RuleList, latches: &mut LoadHysteresis) -> String {
-        list.decide(&self.0, latches).rule_name.to_string()
+    fn deciding_rule(&self, list: &RuleList, load_hysteresis: &mut LoadHysteresis) -> String {
+        list.decide(&self.0, load_hysteresis).rule_name.to_string()
     }
 
-    fn explained_by(&self, list: &RuleList) -> String {
+    fn explanation(&self, list: &RuleList) -> String {
         let explanation = list.explain(&self.0, &mut LoadHysteresis::new(list));
         let rules: String = explanation.rules.iter().map(|rule| format!("{rule}\n")).collect();
         format!("{rules}{:?}\n", explanation.outcome)
@@ -56,30 +56,30 @@
 }
 
 fn errors(text: &str) -> String {
-    let errors = RuleList::parse(text).expect_err("bad list");
+    let errors = RuleList::parse(text).expect_err("invalid list");
     errors.iter().map(|error| format!("{error}\n")).collect()
 }
 
-fn decided(text: &str, request: &Request) -> String {
-    let list = RuleList::parse(text).expect("good list");
-    request.decided_by(&list, &mut LoadHysteresis::new(&list))
+fn deciding_rule(text: &str, request: &Request) -> String {
+    let list = RuleList::parse(text).expect("valid list");
+    request.deciding_rule(&list, &mut LoadHysteresis::new(&list))
 }
 
 #[test]
-fn explanations_name_what_did_not_hold() {
-    let list = RuleList::parse(MORNING).unwrap();
-    let shown = [
+fn explanations_list_unmet_conditions() {
+    let list = RuleList::parse(RULES).unwrap();
+    let actual = [
         Request::new("orders", "2026-03-02T00:30:00Z"),
         Request::new("orders", "2026-03-06T23:00:00Z"),
         Request::new("recipes", "2026-03-02T00:30:00Z").with_caller("batch").with_load(900),
         Request::new("recipes", "2026-03-02T00:30:00Z"),
     ]
-    .map(|request| request.explained_by(&list));
-    insta::assert_snapshot!(shown.join("\n"));
+    .map(|request| request.explanation(&list));
+    insta::assert_snapshot!(actual.join("\n"));
 }
 
 #[test]
-fn every_error_is_reported_at_once() {
+fn all_errors_are_reported_at_once() {
     let text = "\
 [a]
 when.time = 6-11
@@ -106,22 +106,23 @@
 }
 
 #[test]
-fn last_rule_must_be_the_only_one_without_conditions() {
-    let shown = [errors(""), errors("[a]\nwhen.service = x\n"), errors("[a]\n[b]\n[c]\n")];
-    insta::assert_snapshot!(shown.join("\n"));
+fn only_the_last_rule_has_no_conditions() {
+    let actual = [errors(""), errors("[a]\nwhen.service = x\n"), errors("[a]\n[b]\n[c]\n")];
+    insta::assert_snapshot!(actual.join("\n"));
 }
 
-/// Bogotá never changes its clocks; New York skips from 02:00 to 03:00 on 8 March 2026 and repeats
-/// 01:00 to 02:00 on 1 November. A rule for 01:00 to 03:00 follows the local clock.
+/// Guards against a time range that ignores clock changes: New York skips 02:00 to 03:00 on
+/// 8 March 2026 and repeats 01:00 to 02:00 on 1 November 2026. A range of 01:00 to 03:00 must
+/// follow the local clock.
 #[test]
-fn times_follow_the_local_clock() {
+fn time_ranges_follow_the_local_clock() {
     let text = "[night]\nwhen.time = 01:00-03:00\nwhen.zone = America/New_York\n[rest]\n";
-    let at = |at: &str| decided(text, &Request::new("x", at));
-    let half_past_one = at("2026-03-08T06:30:00Z");
-    let three_after_the_skipped_hour = at("2026-03-08T07:00:00Z");
-    let half_past_one_before_the_change = at("2026-11-01T05:30:00Z");
-    let half_past_one_again = at("2026-11-01T06:30:00Z");
-    let three_after_the_repeated_hour = at("2026-11-01T08:00:00Z");
+    let decide_at = |at: &str| deciding_rule(text, &Request::new("x", at));
+    let half_past_one = decide_at("2026-03-08T06:30:00Z");
+    let three_after_the_skipped_hour = decide_at("2026-03-08T07:00:00Z");
+    let half_past_one_before_the_change = decide_at("2026-11-01T05:30:00Z");
+    let half_past_one_again = decide_at("2026-11-01T06:30:00Z");
+    let three_after_the_repeated_hour = decide_at("2026-11-01T08:00:00Z");
     let actual = [
         half_past_one,
         three_after_the_skipped_hour,
@@ -133,35 +134,36 @@
 }
 
 #[test]
-fn range_past_midnight_takes_the_new_day() {
+fn time_range_past_midnight_matches_the_new_day() {
     let text = "[late]\nwhen.time = 22:00-04:00\nwhen.days = fri-sat\nwhen.zone = UTC\n[rest]\n";
-    let at = |at: &str| decided(text, &Request::new("x", at));
-    assert_eq!("late", at("2026-03-06T23:00:00Z"));
-    assert_eq!("late", at("2026-03-07T03:59:00Z"));
-    assert_eq!("rest", at("2026-03-08T03:00:00Z"));
-    assert_eq!("rest", at("2026-03-07T04:00:00Z"));
+    let decide_at = |at: &str| deciding_rule(text, &Request::new("x", at));
+    assert_eq!("late", decide_at("2026-03-06T23:00:00Z"));
+    assert_eq!("late", decide_at("2026-03-07T03:59:00Z"));
+    assert_eq!("rest", decide_at("2026-03-08T03:00:00Z"));
+    assert_eq!("rest", decide_at("2026-03-07T04:00:00Z"));
 }
 
-/// The load swings around a bound of 800 from one request to the next. Without a band the rule
-/// would switch with every swing and move the load itself.
+/// Guards against a deciding rule that changes from one request to the next while the load
+/// oscillates around a bound of 800: without hysteresis, each change would itself move the load.
 #[test]
-fn load_that_swings_around_a_bound_does_not_switch_the_rule() {
+fn load_oscillating_around_a_bound_does_not_switch_the_rule() {
     let list = RuleList::parse("[busy]\nwhen.load_above = 800\n[calm]\n").unwrap();
-    let mut latches = LoadHysteresis::new(&list);
+    let mut load_hysteresis = LoadHysteresis::new(&list);
     let loads = [790, 810, 790, 760, 750, 790, 801];
     let actual = loads.map(|load| {
         let request = Request::new("x", "2026-03-02T00:00:00Z").with_load(load);
-        request.decided_by(&list, &mut latches)
+        request.deciding_rule(&list, &mut load_hysteresis)
     });
     let expected = ["calm", "busy", "busy", "busy", "calm", "calm", "busy"];
     assert_eq!(expected, actual.each_ref().map(String::as_str));
 }
 
-/// Every report of load is late or missing. A rule that sheds load must not act on nothing.
+/// Guards against shedding on missing data: when every load report is late or missing, the load is
+/// unknown and a rule that sheds load must not match.
 #[test]
 fn unknown_load_matches_no_load_condition() {
     let text = "[busy]\nwhen.load_above = 0\n[calm]\nwhen.load_below = 2000\n[rest]\n";
-    assert_eq!("rest", decided(text, &Request::new("x", "2026-03-02T00:00:00Z")));
+    assert_eq!("rest", deciding_rule(text, &Request::new("x", "2026-03-02T00:00:00Z")));
 }
 
 const FRAGMENTS: [&str; 24] = [
@@ -191,25 +193,25 @@
     "; note",
 ];
 
-fn text_of(picks: &[u8]) -> String {
+fn text_from(picks: &[u8]) -> String {
     let lines: Vec<&str> =
         picks.iter().map(|pick| FRAGMENTS[usize::from(*pick) % FRAGMENTS.len()]).collect();
     lines.join("\n")
 }
 
 #[test]
-fn any_text_is_parsed_the_same_way_each_time() {
-    fn same(picks: Vec<u8>, noise: String) -> bool {
-        let text = format!("{}{noise}", text_of(&picks));
+fn parsing_is_deterministic() {
+    fn parses_equally(picks: Vec<u8>, noise: String) -> bool {
+        let text = format!("{}{noise}", text_from(&picks));
         RuleList::parse(&text) == RuleList::parse(&text)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(30, 7))
         .tests(1000)
-        .quickcheck(same as fn(Vec<u8>, String) -> bool);
+        .quickcheck(parses_equally as fn(Vec<u8>, String) -> bool);
 }
 
-/// One or more conditions, without the two loads that exclude each other.
+/// Returns one or more conditions, but never both load conditions, which exclude each other.
 fn conditions(combination: u8) -> String {
     const BITS: [(u8, &str); 4] = [
         (1, "when.service = x\n"),
@@ -231,16 +233,17 @@
             text += &format!("[r{index}]\n{}", conditions(*combination));
         }
         let list = RuleList::parse(&(text + "[rest]\n")).unwrap();
-        let mut latches = LoadHysteresis::new(&list);
+        let mut load_hysteresis = LoadHysteresis::new(&list);
         requests.iter().all(|(kind, second, load)| {
             let service = if kind % 2 == 0 { "x" } else { "y" };
             let mut request = Request::new(service, "2026-03-02T00:00:00Z").0;
             request.at = Timestamp::from_second(i64::from(*second)).unwrap();
             request.caller = (kind % 3 == 0).then(|| "c".parse().unwrap());
             request.load = load.map(|load| Permille::new(u32::from(load % 1000)));
-            let explained = list.explain(&request, &mut latches.clone());
-            let decided = list.decide(&request, &mut latches);
-            explained.deciding_rule == *decided.rule_name && explained.outcome == *decided.outcome
+            let explanation = list.explain(&request, &mut load_hysteresis.clone());
+            let decision = list.decide(&request, &mut load_hysteresis);
+            explanation.deciding_rule == *decision.rule_name
+                && explanation.outcome == *decision.outcome
         })
     }
     QuickCheck::new()
