--- a/crates/rules/src/outcome.rs
+++ b/crates/rules/src/outcome.rs
@@ -6,14 +6,14 @@
 
 use shallotfork_types::{FailureDomain, ParseError};
 
-/// How a request that a rule decides is served.
+/// How to serve a request that a rule decides.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome {
     /// Failure domains whose targets are tried first, in descending order of preference.
     pub prefer: Vec<FailureDomain>,
     /// Deadline of requests that state none; `None` applies the default of the settings.
     pub deadline: Option<Duration>,
-    /// Maximum number of further attempts, each made only after one that is proved not to have run.
+    /// Maximum number of further attempts after one that is proved not to have run.
     pub retries: u32,
     /// Whether an idempotent request may get a second attempt while the first one runs.
     pub hedge: bool,
--- a/crates/rules/src/parser.rs
+++ b/crates/rules/src/parser.rs
@@ -91,7 +91,7 @@
     section.entries.iter().any(|entry| entry.key.starts_with("when."))
 }
 
-/// Checks that exactly one rule has no conditions and that it is the last one.
+/// Returns an error unless exactly one rule has no conditions and it is the last one.
 fn misplaced_fallback(sections: &[Section]) -> Option<RuleError> {
     let Some(last) = sections.last() else {
         return Some(list_error("no rules"));
@@ -103,7 +103,7 @@
     unreachable_rule(sections)
 }
 
-/// Rejects `when.service` in a list for one service, whose name already gives the service.
+/// Returns an error for each `when.service` in a list for one service; its name gives the service.
 fn service_key_errors(sections: &[Section]) -> Vec<RuleError> {
     let mut errors = Vec::new();
     for section in sections {
@@ -115,7 +115,7 @@
     errors
 }
 
-/// Finds the first rule below one without conditions, which decides every request.
+/// Returns an error for the first rule that can never decide, since one above has no conditions.
 fn unreachable_rule(sections: &[Section]) -> Option<RuleError> {
     let fallback = sections.iter().find(|section| !is_conditional(section))?;
     let next = sections.iter().find(|section| section.line > fallback.line)?;
