--- a/crates/rules/src/explanation.rs
+++ b/crates/rules/src/explanation.rs
@@ -1,4 +1,4 @@
-//! Why a rule decided.
+//! Explanation of a rule decision.
 
 use std::fmt;
 
@@ -6,38 +6,38 @@
 
 /// A condition that did not hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unmet {
-    /// Key of the condition.
+pub struct UnmetCondition {
+    /// Key that states the condition.
     pub key: String,
-    /// What it asks for.
+    /// Values that the condition requires.
     pub wanted: String,
-    /// What the request had.
+    /// Actual value of the request.
     pub found: String,
 }
 
-/// What became of one rule.
+/// The evaluation of one rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RuleTrace {
-    /// The rule.
+    /// Name of the rule.
     pub name: RuleName,
-    /// Line of its section.
+    /// Line number of the rule's section, starting at 1.
     pub line: usize,
     /// Conditions that did not hold; empty for the rule that decides.
-    pub unmet: Vec<Unmet>,
+    pub unmet: Vec<UnmetCondition>,
 }
 
-/// Each rule in turn, down to the one that decides.
+/// The evaluation of each rule, up to the one that decides the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Explanation {
-    /// Rules in order; the last one decides.
+    /// Evaluated rules in the order of the list; the last one decides.
     pub rules: Vec<RuleTrace>,
-    /// The rule that decides.
-    pub decided: RuleName,
-    /// What applies.
+    /// Name of the rule that decides.
+    pub deciding_rule: RuleName,
+    /// Outcome of the deciding rule.
     pub outcome: Outcome,
 }
 
-impl fmt::Display for Unmet {
+impl fmt::Display for UnmetCondition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} is {}, found {}", self.key, self.wanted, self.found)
     }
@@ -49,7 +49,7 @@
         if self.unmet.is_empty() {
             return f.write_str("decides");
         }
-        let unmet: Vec<String> = self.unmet.iter().map(Unmet::to_string).collect();
+        let unmet: Vec<String> = self.unmet.iter().map(UnmetCondition::to_string).collect();
         write!(f, "no: {}", unmet.join("; "))
     }
 }
