--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -17,9 +17,9 @@
 use tokio::sync::{Notify, watch};
 
 use crate::dialect::Dialect;
-use crate::line_budget::LineBudget;
+use crate::log_budget::LogBudget;
 use crate::settings::GatewaySettings;
-use crate::snapshot::{Fleet, Published};
+use crate::snapshot::{FleetSnapshot, Published};
 use crate::traffic::{ProbeCounts, ServiceSlots};
 
 /// Work that waits longer than this for the processor makes callers notice; a busy process has shorter
@@ -46,7 +46,7 @@
     /// What is published.
     pub published: ArcSwap<Published>,
     /// Which entries live.
-    pub fleet: ArcSwap<Fleet>,
+    pub fleet: ArcSwap<FleetSnapshot>,
     /// The callers' port.
     pub callers: ServeControl,
     /// Connections to targets.
@@ -54,25 +54,25 @@
     /// How questions to targets for their load ended.
     pub probe_counts: ProbeCounts,
     /// Bytes of bodies held.
-    pub bodies: BodyBudget,
+    pub body_budget: BodyBudget,
     /// Slots of each service.
     pub services: Services,
     /// Signalled when a request begins to wait for a slot.
-    pub waits: Arc<Notify>,
+    pub request_queued: Arc<Notify>,
     /// Shares of services within a route.
     pub splitter: Mutex<Splitter>,
-    /// Deadlines seen on each route.
-    pub deadlines: Deadlines,
+    /// Estimators of the time that callers of each route waited before a request arrived.
+    pub prior_waits: PriorWaitEstimators,
     /// When the last answer of a stopping process is due; `None` while it does not stop.
-    pub last_answer: watch::Sender<Option<Mono>>,
+    pub answer_deadline: watch::Sender<Option<Mono>>,
     /// Bounds the lines about requests that went well.
-    pub lines: LineBudget,
+    pub request_log_budget: LogBudget,
     /// Bounds the lines about what targets say that is not valid.
-    pub invalid_lines: LineBudget,
+    pub invalid_log_budget: LogBudget,
     /// Signalled when a request begins.
-    pub begins: Notify,
+    pub request_started: Notify,
     /// How late the traffic threads do their work.
-    pub lateness: Mutex<SchedulingDelay>,
+    pub scheduling_delay: Mutex<SchedulingDelay>,
     /// Rate limits advertised by targets.
     pub rate_limits: Mutex<RateLimits>,
     /// Key for request fingerprints.
@@ -83,7 +83,7 @@
 
 impl Context {
     /// How long this process has run; its clock begins with it.
-    pub fn age(&self) -> Duration {
+    pub fn uptime(&self) -> Duration {
         self.clock.now().since(Mono::ZERO)
     }
 
@@ -99,7 +99,7 @@
         let name = self.settings.vm.to_string();
         let config = || SlotPoolConfig { name, failure_domain: near, ..SlotPoolConfig::default() };
         self.services.get(service, || {
-            let waits = Arc::clone(&self.waits);
+            let waits = Arc::clone(&self.request_queued);
             ServiceSlots::new(
                 service.clone(),
                 config(),
@@ -113,14 +113,14 @@
 
     /// Has every request answered by then, also one whose own deadline is later: the process ends
     /// soon after, and would cut it off.
-    pub fn answer_by(&self, end: Mono) {
-        self.last_answer.send_replace(Some(end));
+    pub fn set_answer_deadline(&self, end: Mono) {
+        self.answer_deadline.send_replace(Some(end));
     }
 
     /// Ends when a stopping process can't wait for a request any longer.
-    pub async fn answers_are_due(&self) {
-        let mut last_answer = self.last_answer.subscribe();
-        let Ok(Some(end)) = last_answer.wait_for(Option::is_some).await.map(|end| *end) else {
+    pub async fn wait_for_answer_deadline(&self) {
+        let mut answer_deadline = self.answer_deadline.subscribe();
+        let Ok(Some(end)) = answer_deadline.wait_for(Option::is_some).await.map(|end| *end) else {
             return std::future::pending().await;
         };
         let end = end.plus(OWN_END_MAX);
@@ -128,18 +128,18 @@
     }
 
     /// How late the traffic threads do their work.
-    pub fn late_by(&self) -> Duration {
-        lock(&self.lateness).at(self.clock.now())
+    pub fn scheduling_delay(&self) -> Duration {
+        lock(&self.scheduling_delay).at(self.clock.now())
     }
 
     /// Whether work waits for the processor.
-    pub fn is_behind(&self) -> bool {
-        self.late_by() >= BEHIND_FROM
+    pub fn is_overloaded(&self) -> bool {
+        self.scheduling_delay() >= BEHIND_FROM
     }
 
     /// A piece of work was done so much later than planned.
-    pub fn note_lateness(&self, late: Duration) {
-        lock(&self.lateness).record(late, self.clock.now());
+    pub fn record_scheduling_delay(&self, late: Duration) {
+        lock(&self.scheduling_delay).record(late, self.clock.now());
     }
 
     /// Whether callers are told to come here.
@@ -174,13 +174,13 @@
 
 /// What is known of the deadlines that callers of each route send.
 #[derive(Debug, Default)]
-pub struct Deadlines {
+pub struct PriorWaitEstimators {
     by_route: Mutex<HashMap<RouteName, PriorWaitEstimator>>,
 }
 
-impl Deadlines {
+impl PriorWaitEstimators {
     /// How long a caller with this deadline had waited before it came here, at least.
-    pub fn waited(&self, route: &RouteName, deadline: Duration) -> Duration {
+    pub fn estimate(&self, route: &RouteName, deadline: Duration) -> Duration {
         let mut by_route = lock(&self.by_route);
         let known =
             by_route.entry(route.clone()).or_insert_with(|| PriorWaitEstimator::new(deadline));
--- a/crates/gateway/src/control/beats.rs
+++ b/crates/gateway/src/control/beats.rs
@@ -9,12 +9,12 @@
 use shallotfork_timer::{Schedule, TimerService};
 use shallotfork_types::Endpoint;
 
-use crate::carried::Carried;
 use crate::control::hearing::{heard, own_heartbeat};
 use crate::control::naming::name_entries;
 use crate::control::reading::{Source, pull};
 use crate::control::relay::should_read_from;
 use crate::control::state::State;
+use crate::transfer::TransferKind;
 
 /// A tick that is late by this much means that the process stood still.
 const STOOD_STILL: Duration = Duration::from_millis(400);
@@ -34,8 +34,8 @@
                 "revision" => revision.value());
             state.fleet.borrow_mut().handle_resume(tick.now);
         }
-        let is_overloaded = state.context.is_behind();
-        let scheduling_delay = lateness.at(tick.now).max(state.context.late_by());
+        let is_overloaded = state.context.is_overloaded();
+        let scheduling_delay = lateness.at(tick.now).max(state.context.scheduling_delay());
         state.update_own(|own| OwnState { is_overloaded, scheduling_delay, ..own });
         let seeds = state.seeds.borrow().clone();
         let called = state.fleet.borrow_mut().start_period(&seeds, &mut rand::rng(), tick.now);
@@ -78,7 +78,7 @@
     let own = own_heartbeat(&state, &client.peer().vm, None);
     match client.heartbeat(&own).await {
         Ok(answer) => {
-            Carried::Heartbeats.count(&answer.failure_domain, client.take_bytes());
+            TransferKind::Heartbeats.record_bytes(&answer.failure_domain, client.take_bytes());
             heard(&state, client.peer(), &answer);
             if should_read_from(&state, &answer) {
                 let failure_domain = answer.failure_domain;
--- a/crates/gateway/src/control/naming.rs
+++ b/crates/gateway/src/control/naming.rs
@@ -11,7 +11,7 @@
 
 use crate::control::publish::publish_sharers;
 use crate::control::state::State;
-use crate::snapshot::Fleet;
+use crate::snapshot::FleetSnapshot;
 
 /// Time after the start in which an entry meets the others: a few heartbeats.
 const SETTLING: Duration = Duration::from_millis(1000);
@@ -24,25 +24,31 @@
         return;
     }
     log_beliefs(state, before.as_deref(), &beliefs);
-    let named = beliefs.advertised.clone();
-    let named_before = before.map_or_else(Vec::new, |before| before.advertised.clone());
-    let changed = named_before != named;
-    if wants_callers_spread(state, &named_before, &named) {
+    let advertised = beliefs.advertised.clone();
+    let advertised_before = before.map_or_else(Vec::new, |before| before.advertised.clone());
+    let changed = advertised_before != advertised;
+    if wants_callers_spread(state, &advertised_before, &advertised) {
         spread_callers(state);
     }
-    let live = beliefs.core_entries.len();
-    state.known.set(state.known.get().max(live));
+    let live_entries = beliefs.core_entries.len();
+    state.known.set(state.known.get().max(live_entries));
     if changed {
-        let names: Vec<&str> = named.iter().map(|entry| entry.vm.as_str()).collect();
-        event!(state.context.log, ACTIVE_CHANGED, "entries" => names.join(","), "live" => live,
+        let names: Vec<&str> = advertised.iter().map(|entry| entry.vm.as_str()).collect();
+        event!(state.context.log, ACTIVE_CHANGED, "entries" => names.join(","), "live" => live_entries,
             "known" => state.known.get());
     }
-    let active = named.is_empty() || is_named(&named, &state.context.settings.vm);
-    let settled = state.context.fleet.load().settled;
-    let fleet = Fleet { named, active, live, known: state.known.get(), settled };
-    let part = fleet.part();
-    let part_before = state.context.fleet.swap(Arc::new(fleet)).part();
-    if changed || part_before != part {
+    let is_advertised = advertised.is_empty() || is_named(&advertised, &state.context.settings.vm);
+    let is_settled = state.context.fleet.load().is_settled;
+    let fleet = FleetSnapshot {
+        advertised,
+        is_advertised,
+        live_entries,
+        known_entries: state.known.get(),
+        is_settled,
+    };
+    let share = fleet.share();
+    let share_before = state.context.fleet.swap(Arc::new(fleet)).share();
+    if changed || share_before != share {
         publish_sharers(state);
     }
 }
@@ -50,10 +56,13 @@
 /// Notes once that this process has run for long enough to have met the others.
 pub fn note_settled(state: &State) {
     let fleet = state.context.fleet.load();
-    if fleet.settled || state.context.age() < SETTLING {
+    if fleet.is_settled || state.context.uptime() < SETTLING {
         return;
     }
-    state.context.fleet.store(Arc::new(Fleet { settled: true, ..Fleet::clone(&fleet) }));
+    state
+        .context
+        .fleet
+        .store(Arc::new(FleetSnapshot { is_settled: true, ..FleetSnapshot::clone(&fleet) }));
     publish_sharers(state);
 }
 
@@ -81,7 +90,7 @@
 
 /// Has callers choose anew once they know the entries that are named now.
 fn spread_callers(state: &State) {
-    let keep = state.context.settings.answer_keep;
+    let keep = state.context.settings.directory_ttl;
     let callers = state.context.callers.clone();
     tokio::task::spawn_local(async move {
         tokio::time::sleep(keep).await;
--- a/crates/gateway/src/control/publish.rs
+++ b/crates/gateway/src/control/publish.rs
@@ -16,7 +16,7 @@
 use crate::context::lock;
 use crate::control::reader::note_sight;
 use crate::control::state::State;
-use crate::line_budget::LineLeave;
+use crate::log_budget::LogDecision;
 use crate::snapshot::Published;
 use crate::traffic::ServiceSlots;
 use shallotfork_feed::{Decoded, FeedChanges, RawItem};
@@ -96,7 +96,8 @@
 /// Logs a part of a published item that is not valid. Targets publish their entries again every
 /// second or so.
 fn log_ignored(state: &State, item: &RawItem, reason: &str) {
-    let LineLeave::Write { left_out } = state.context.invalid_lines.ask(state.now()) else {
+    let LogDecision::Write { left_out } = state.context.invalid_log_budget.try_acquire(state.now())
+    else {
         return;
     };
     event!(state.context.log, PUBLISHED_IGNORED, "key" => &item.key, "reason" => reason,
@@ -194,8 +195,8 @@
 /// Publishes since when the platform counts as away.
 pub fn publish_away(state: &State) {
     let published = state.context.published.load();
-    let platform_lost_at = state.away_since.get();
-    let published = Published { platform_lost_at, ..Published::clone(&published) };
+    let platform_disconnected_at = state.away_since.get();
+    let published = Published { platform_disconnected_at, ..Published::clone(&published) };
     state.context.published.store(Arc::new(published));
 }
 
@@ -208,8 +209,8 @@
 
 fn set_sharers(state: &State, slots: &ServiceSlots) {
     let fleet = state.context.fleet.load();
-    let names = fleet.named.iter().map(|entry| entry.vm.to_string()).collect();
-    slots.set_sharers(names, fleet.part());
+    let names = fleet.advertised.iter().map(|entry| entry.vm.to_string()).collect();
+    slots.set_sharers(names, fleet.share());
 }
 
 /// Publishes the targets, and gives each service's slots theirs if these have changed.
--- a/crates/gateway/src/control/reading.rs
+++ b/crates/gateway/src/control/reading.rs
@@ -7,10 +7,10 @@
 use shallotfork_peer::{Changes, PeerClient, PeerError};
 use shallotfork_types::{FailureDomain, Mono, Revision};
 
-use crate::carried::Carried;
 use crate::control::relay::take;
 use crate::control::state::State;
 use crate::control::telling::LARGE;
+use crate::transfer::TransferKind;
 
 /// A reading that takes at least this long is logged, whatever its size.
 const SLOW: Duration = Duration::from_millis(300);
@@ -64,7 +64,7 @@
     source.client.take_bytes();
     let answer = changes(state, &source.client, after).await;
     let bytes = source.client.take_bytes();
-    Carried::Lists.count(&source.failure_domain, bytes);
+    TransferKind::Pulls.record_bytes(&source.failure_domain, bytes);
     let changes = answer.inspect_err(|error| {
         if *error != PeerError::Busy {
             refused(state, source, after, began_at, &error.to_string());
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -100,7 +100,7 @@
             callers: settings.ports.callers,
             peers: settings.ports.peers,
             leaving: false,
-            capacity: settings.strength,
+            capacity: settings.capacity,
         },
         incarnation: context.incarnation,
         round: 0,
--- a/crates/gateway/src/control/thread.rs
+++ b/crates/gateway/src/control/thread.rs
@@ -182,7 +182,7 @@
         catch_up: RefCell::new(PullScheduler::new()),
         sources: RefCell::default(),
         told: TellCount::default(),
-        uplink: RefCell::new(Uplink::new(context.settings.link)),
+        uplink: RefCell::new(Uplink::new(context.settings.link_bandwidth)),
         away_since: Cell::new(None),
         named_by: RefCell::new(None),
         role_look: Notify::new(),
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -44,10 +44,10 @@
     /// Paths.
     pub paths: Paths,
     /// Reads a target's account of its load; `None` when it is not in the platform's form.
-    pub load_figures: fn(&str) -> Option<TargetLoad>,
+    pub parse_load: fn(&str) -> Option<TargetLoad>,
     /// Where a caller who asks for addresses stands, by the query of its question; `None` when it
     /// does not say.
-    pub caller_domain: fn(&str) -> Option<FailureDomain>,
+    pub parse_caller_domain: fn(&str) -> Option<FailureDomain>,
     /// Writes the answer to a caller who asks for addresses: these, and how long to keep them.
-    pub directory_answer: fn(&[Endpoint], Duration) -> String,
+    pub format_directory_answer: fn(&[Endpoint], Duration) -> String,
 }
--- a/crates/gateway/src/follow_settings.rs
+++ b/crates/gateway/src/follow_settings.rs
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 /// When the signal can't be watched.
-pub fn outlive_hangups() -> Result<()> {
+pub fn ignore_sighup() -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build()?;
     let _entered = runtime.enter();
     // What tokio does at the first watch of a signal holds until the process ends.
--- a/crates/gateway/src/leave.rs
+++ b/crates/gateway/src/leave.rs
@@ -32,8 +32,8 @@
 pub async fn leave(context: &Arc<Context>, control: &ControlHandle, process: Process<Leaving>) {
     let callers = &context.callers;
     let began = context.clock.now();
-    let grace = context.settings.grace;
-    context.answer_by(began.plus(grace.mul_f64(ANSWER_PART)));
+    let grace = context.settings.shutdown_grace;
+    context.set_answer_deadline(began.plus(grace.mul_f64(ANSWER_PART)));
     callers.announce_close();
     let _slow = tokio::time::timeout(TELL_MAX, control.leave()).await;
     let (open, end) = (grace.mul_f64(OPEN_PART), grace.mul_f64(END_PART));
@@ -46,8 +46,8 @@
 /// Stops a process that is asked to before it says that it serves. Nobody was sent to it yet, but
 /// callers of the one that ran at its address before may have come, and be waiting for answers.
 pub async fn leave_before_serving(context: &Arc<Context>) {
-    let (began, grace) = (context.clock.now(), context.settings.grace);
-    context.answer_by(began.plus(grace.mul_f64(ANSWER_PART)));
+    let (began, grace) = (context.clock.now(), context.settings.shutdown_grace);
+    context.set_answer_deadline(began.plus(grace.mul_f64(ANSWER_PART)));
     context.callers.stop();
     finish(context, began.plus(grace.mul_f64(END_PART))).await;
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,20 +4,20 @@
 //! live. Traffic threads ([`traffic`]) read snapshots that control publishes. A platform is a
 //! [`Feed`](shallotfork_feed::Feed) that is read and a [`Dialect`] that is spoken; nothing here knows its names.
 
-mod carried;
 mod context;
 mod control;
 mod dialect;
 mod follow_settings;
 mod leave;
-mod line_budget;
+mod log_budget;
 mod metrics_page;
 mod run;
 mod settings;
 mod snapshot;
 mod traffic;
+mod transfer;
 
 pub use dialect::{Dialect, HeaderNames, Paths};
-pub use follow_settings::outlive_hangups;
-pub use run::{Program, ReloadFn, run};
+pub use follow_settings::ignore_sighup;
+pub use run::{PlatformAdapter, ReloadFn, run};
 pub use settings::{GatewaySettings, Ports};
--- a/crates/gateway/src/line_budget.rs
+++ b/crates/gateway/src/log_budget.rs
@@ -12,7 +12,7 @@
 /// reads. Lines about failures, refusals and changes of belief are not counted: they are fewer, and
 /// those that explain something.
 #[derive(Debug)]
-pub struct LineBudget {
+pub struct LogBudget {
     limit: PerSecond,
     used: Mutex<Used>,
 }
@@ -26,24 +26,24 @@
 
 /// Whether a line may be written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LineLeave {
+pub enum LogDecision {
     /// It may; so many were left out before it.
     Write {
         /// Lines left out since the last one that was written.
         left_out: u64,
     },
     /// It is left out, and counted.
-    LeaveOut,
+    Suppress,
 }
 
-impl LineBudget {
+impl LogBudget {
     /// Allows so many lines in each second.
     pub fn new(limit: PerSecond) -> Self {
         Self { limit, used: Mutex::default() }
     }
 
     /// Asks for one line.
-    pub fn ask(&self, now: Mono) -> LineLeave {
+    pub fn try_acquire(&self, now: Mono) -> LogDecision {
         let mut used = lock(&self.used);
         let second = now.as_micros() / SECOND_US;
         if used.second != second {
@@ -52,9 +52,9 @@
         }
         if used.lines >= self.limit.value() {
             used.left_out += 1;
-            return LineLeave::LeaveOut;
+            return LogDecision::Suppress;
         }
         used.lines += 1;
-        LineLeave::Write { left_out: std::mem::take(&mut used.left_out) }
+        LogDecision::Write { left_out: std::mem::take(&mut used.left_out) }
     }
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -22,15 +22,15 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{Notify, watch};
 
-use crate::context::{Context, Deadlines, Services};
+use crate::context::{Context, PriorWaitEstimators, Services};
 use crate::control::{ControlHandle, ControlParts, start};
 use crate::dialect::Dialect;
 use crate::follow_settings::follow_settings;
 use crate::leave::{leave, leave_before_serving};
-use crate::line_budget::LineBudget;
+use crate::log_budget::LogBudget;
 use crate::metrics_page::MetricsPage;
 use crate::settings::GatewaySettings;
-use crate::snapshot::{Fleet, Published};
+use crate::snapshot::{FleetSnapshot, Published};
 use crate::traffic::{
     ProbeCounts, directory, front, lateness, may_begin_early, probes, readiness, service_load,
 };
@@ -44,7 +44,7 @@
 const INVALID_LINES: PerSecond = PerSecond::new(1);
 
 /// What a platform's adapter brings.
-pub struct Program {
+pub struct PlatformAdapter {
     /// Settings.
     pub settings: GatewaySettings,
     /// Header names and forms.
@@ -70,8 +70,8 @@
 ///
 /// # Errors
 /// When a port can't be bound, or a part of the process can't be started.
-pub fn run(program: Program) -> Result<()> {
-    let Program { settings, dialect, feed, reload } = program;
+pub fn run(program: PlatformAdapter) -> Result<()> {
+    let PlatformAdapter { settings, dialect, feed, reload } = program;
     let incarnation = Incarnation::from_start_time(unix_time_ms(), rand::rng().random());
     let log_config = LogConfig {
         vm: settings.vm.to_string(),
@@ -84,7 +84,7 @@
     let fingerprint_key = FingerprintKey::new(&settings.fleet_key);
     let metrics = MetricsPage::install()?;
     let process = Process::new(log.clone());
-    let bodies = BodyBudget::new(settings.bodies_max);
+    let body_budget = BodyBudget::new(settings.body_budget);
     let threads = settings.traffic_threads.max(1);
     let context = Arc::new(Context {
         settings,
@@ -94,20 +94,20 @@
         log,
         phase: process.watch(),
         published: ArcSwap::from_pointee(Published::default()),
-        fleet: ArcSwap::from_pointee(Fleet::default()),
+        fleet: ArcSwap::from_pointee(FleetSnapshot::default()),
         callers: ServeControl::new(),
-        links: TargetLinks::new(LinkConfig::default(), bodies.clone()),
+        links: TargetLinks::new(LinkConfig::default(), body_budget.clone()),
         probe_counts: ProbeCounts::default(),
-        bodies,
+        body_budget,
         services: Services::default(),
-        waits: Arc::new(Notify::new()),
+        request_queued: Arc::new(Notify::new()),
         splitter: Mutex::new(Splitter::new()),
-        deadlines: Deadlines::default(),
-        last_answer: watch::Sender::new(None),
-        lines: LineBudget::new(REQUEST_LINES),
-        invalid_lines: LineBudget::new(INVALID_LINES),
-        begins: Notify::new(),
-        lateness: Mutex::default(),
+        prior_waits: PriorWaitEstimators::default(),
+        answer_deadline: watch::Sender::new(None),
+        request_log_budget: LogBudget::new(REQUEST_LINES),
+        invalid_log_budget: LogBudget::new(INVALID_LINES),
+        request_started: Notify::new(),
+        scheduling_delay: Mutex::default(),
         rate_limits: Mutex::default(),
         fingerprint_key,
         quarantine: Mutex::new(Quarantine::new(QuarantineConfig::default())),
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -32,9 +32,9 @@
     /// Which failure domains stand in which region; empty when that is not known.
     pub regions: Regions,
     /// Requests a second that this VM could carry, by its processor and its link.
-    pub strength: PerSecond,
+    pub capacity: PerSecond,
     /// What the VM's link carries in each direction.
-    pub link: BytesPerSecond,
+    pub link_bandwidth: BytesPerSecond,
     /// Where it listens.
     pub ports: Ports,
     /// Peer ports of some entries, which may be down or out of date.
@@ -44,11 +44,11 @@
     /// Threads for traffic.
     pub traffic_threads: usize,
     /// Bytes of bodies held at one time.
-    pub bodies_max: Bytes,
+    pub body_budget: Bytes,
     /// Longest time between the request to stop and the end of the process.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// How long callers may keep an answer of the directory.
-    pub answer_keep: Duration,
+    pub directory_ttl: Duration,
     /// Window in which repeated sends are bounded over all entries.
     pub retry_window: Duration,
     /// Repeated sends allowed over all entries, as a share of requests.
--- a/crates/gateway/src/snapshot.rs
+++ b/crates/gateway/src/snapshot.rs
@@ -19,42 +19,42 @@
     /// Failure domains whose targets get nothing more.
     pub evacuated: Arc<BTreeMap<FailureDomain, Evacuation>>,
     /// Since when the platform has not answered; `None` while it does.
-    pub platform_lost_at: Option<Mono>,
+    pub platform_disconnected_at: Option<Mono>,
 }
 
 /// What is known of the fleet.
 #[derive(Debug, Clone, Default)]
-pub struct Fleet {
+pub struct FleetSnapshot {
     /// The entries that callers are sent to, best first.
-    pub named: Vec<AdvertisedEntry>,
+    pub advertised: Vec<AdvertisedEntry>,
     /// Whether callers are sent to this process.
-    pub active: bool,
+    pub is_advertised: bool,
     /// Entries that are live as far as this process knows, itself included.
-    pub live: usize,
+    pub live_entries: usize,
     /// The most entries known at one time.
-    pub known: usize,
+    pub known_entries: usize,
     /// Whether this process has run for long enough to have met the others.
-    pub settled: bool,
+    pub is_settled: bool,
 }
 
-impl Fleet {
+impl FleetSnapshot {
     /// Whether this process sees most of the fleet, so that no other part of it does.
-    pub fn sees_most(&self) -> bool {
-        self.live * 2 > self.known
+    pub fn sees_majority(&self) -> bool {
+        self.live_entries * 2 > self.known_entries
     }
 
     /// The part of what the whole fleet may do that this process and those that it sees may do: all
     /// of it if it sees most of the fleet. All parts of a divided fleet together have less than one
     /// and a half. A process that has just started may take itself for the only one, so that it has
     /// no part.
-    pub fn part(&self) -> Permille {
-        if !self.settled {
+    pub fn share(&self) -> Permille {
+        if !self.is_settled {
             return Permille::new(0);
         }
-        if self.sees_most() {
+        if self.sees_majority() {
             return Permille::new(1000);
         }
-        let permille = self.live * 1000 / self.known.max(1);
+        let permille = self.live_entries * 1000 / self.known_entries.max(1);
         Permille::new(u32::try_from(permille).unwrap_or(1000))
     }
 }
--- a/crates/gateway/src/traffic/attempts.rs
+++ b/crates/gateway/src/traffic/attempts.rs
@@ -15,7 +15,6 @@
 use shallotfork_quarantine::SendKind;
 use shallotfork_types::{Endpoint, FailureDomain, Permille, TargetId, Verdict};
 
-use crate::carried::{Carried, message_bytes};
 use crate::context::Context;
 use crate::traffic::job::Job;
 use crate::traffic::judge::{
@@ -25,6 +24,7 @@
 use crate::traffic::quarantine::{begin_run, is_clear, note_answer, note_crash};
 use crate::traffic::rate_limit::note_rate_limit;
 use crate::traffic::service_slots::{Assigned, ServiceSlots};
+use crate::transfer::{TransferKind, message_bytes};
 
 /// Targets that may prove to be out of reach before a request is given up. Nothing arrives there,
 /// so that they count against no limit on attempts.
@@ -310,10 +310,11 @@
     };
     let cold = assigned.sending();
     let sent_bytes = message_bytes(asked.request.headers(), job.request.body.len());
-    Carried::Requests.count(&domain, sent_bytes);
+    TransferKind::Requests.record_bytes(&domain, sent_bytes);
     let result = context.links.send(asked).await;
     if let Ok(answer) = &result {
-        Carried::Answers.count(&domain, message_bytes(&answer.headers, answer.body.len()));
+        TransferKind::Answers
+            .record_bytes(&domain, message_bytes(&answer.headers, answer.body.len()));
     }
     let latency = context.clock.now().since(sent_at);
     let outcome = slot_outcome(&context.dialect, &result, latency);
@@ -426,8 +427,8 @@
     let fleet = context.fleet.load();
     let whole = u64::from(settings.retry_extra);
     let all_active = ACTIVE_SHARE.of(whole);
-    let active = all_active / (fleet.named.len().max(1) as u64);
-    let others = (whole - 2 * all_active) / (fleet.known.max(1) as u64);
-    let extra = if fleet.active && fleet.sees_most() { active } else { others };
+    let active = all_active / (fleet.advertised.len().max(1) as u64);
+    let others = (whole - 2 * all_active) / (fleet.known_entries.max(1) as u64);
+    let extra = if fleet.is_advertised && fleet.sees_majority() { active } else { others };
     RetryAllowance { share: settings.retry_share, extra: u32::try_from(extra).unwrap_or(0) }
 }
--- a/crates/gateway/src/traffic/directory.rs
+++ b/crates/gateway/src/traffic/directory.rs
@@ -24,8 +24,9 @@
     }
     let fleet = context.fleet.load();
     let question = request.uri().query().unwrap_or_default();
-    let domain = (context.dialect.caller_domain)(question);
-    let mut named = endpoints_for_caller(&fleet.named, &context.settings.regions, domain.as_ref());
+    let domain = (context.dialect.parse_caller_domain)(question);
+    let mut named =
+        endpoints_for_caller(&fleet.advertised, &context.settings.regions, domain.as_ref());
     if named.is_empty() {
         if !context.is_serving() {
             // Callers that keep an older answer do better with it.
@@ -35,15 +36,15 @@
         named.push(context.settings.ports.callers);
     }
     let keep = answer_keep(context);
-    let answer = (context.dialect.directory_answer)(&named, keep);
+    let answer = (context.dialect.format_directory_answer)(&named, keep);
     answer.with_content_type(JSON).into_response()
 }
 
 /// How long a caller may keep an answer: shorter while this process may not know the fleet yet, and
 /// so names another entry than the rest does.
 fn answer_keep(context: &Context) -> Duration {
-    let young = context.age() < YOUNG_FOR;
-    let keep = context.settings.answer_keep;
+    let young = context.uptime() < YOUNG_FOR;
+    let keep = context.settings.directory_ttl;
     if young { keep.min(YOUNG_KEEP) } else { keep }
 }
 
--- a/crates/gateway/src/traffic/front.rs
+++ b/crates/gateway/src/traffic/front.rs
@@ -14,7 +14,7 @@
 use shallotfork_types::{Bytes, Mono, TargetId};
 
 use crate::context::Context;
-use crate::line_budget::LineLeave;
+use crate::log_budget::LogDecision;
 use crate::traffic::attempts::{Course, Ended, attempts};
 use crate::traffic::job::{Job, Routed};
 use crate::traffic::refusal::{bad_request, may_have_run, no_route, not_run};
@@ -33,11 +33,11 @@
     let Some(caller) = request.extensions().get::<CallerPresence>().cloned() else {
         return bad_request("the request came on no connection");
     };
-    context.begins.notify_one();
+    context.request_started.notify_one();
     let body_max =
         context.published.load().table.as_ref().map_or(BODY_MAX, |table| table.limits().body_max);
     let limits = BodyLimits { body_max, body_timeout: BODY_TIMEOUT };
-    let request = match read_whole(request, &limits, &context.bodies).await {
+    let request = match read_whole(request, &limits, &context.body_budget).await {
         Ok(request) => request,
         Err(refusal) => {
             event!(context.log, CALLER_REFUSED, "reason" => refusal.to_string());
@@ -60,7 +60,7 @@
     let course = tokio::select! {
         biased;
         course = attempts(&job) => course,
-        () = context.answers_are_due() => Course::cut_short(),
+        () = context.wait_for_answer_deadline() => Course::cut_short(),
     };
     report(&job, &course);
     respond(course, &method)
@@ -122,7 +122,7 @@
     if let Some(route) = table.find(&host, request.path_and_query.path()) {
         return Ok(Routed { route: Arc::clone(route), version: table.version() });
     }
-    let lost = published.platform_lost_at.is_some();
+    let lost = published.platform_disconnected_at.is_some();
     Err(if lost { Unrouted::PerhapsNew } else { Unrouted::NoRoute })
 }
 
@@ -153,13 +153,13 @@
     };
     counter!("shallotfork_requests", "outcome" => outcome).increment(1);
     let context = &job.context;
-    let left_out = match context.lines.ask(context.clock.now()) {
-        LineLeave::Write { left_out } => left_out,
-        LineLeave::LeaveOut if event == REQUEST_ANSWERED => return,
-        LineLeave::LeaveOut => 0,
+    let left_out = match context.request_log_budget.try_acquire(context.clock.now()) {
+        LogDecision::Write { left_out } => left_out,
+        LogDecision::Suppress if event == REQUEST_ANSWERED => return,
+        LogDecision::Suppress => 0,
     };
     let published = context.published.load();
-    let away = published.platform_lost_at.map(|at| context.clock.now().since(at));
+    let away = published.platform_disconnected_at.map(|at| context.clock.now().since(at));
     let targets: Vec<&str> = course.tried.iter().map(TargetId::as_str).collect();
     event!(context.log, event,
         "request" => &job.request_id,
@@ -171,7 +171,7 @@
         "retry_after_ms" => course.retry_after().map_or(0, millis),
         "waited_before_ms" => millis(job.waited),
         "queued_ms" => millis(course.queued),
-        "late_ms" => millis(job.context.late_by()),
+        "late_ms" => millis(job.context.scheduling_delay()),
         "took_ms" => millis(took),
         "left_ms" => millis(job.left(context.clock.now())),
         "platform_away_ms" => away.map_or(0, millis),
--- a/crates/gateway/src/traffic/job.rs
+++ b/crates/gateway/src/traffic/job.rs
@@ -68,10 +68,10 @@
     ) -> Self {
         let Routed { route, version } = routed;
         let patience = deadline_of(&context, &request.headers).unwrap_or(route.timeout);
-        let waited = context.deadlines.waited(&route.name, patience);
+        let waited = context.prior_waits.estimate(&route.name, patience);
         let objective = arrived.plus(route.latency_objective.saturating_sub(waited));
         let deadline = arrived.plus(patience.saturating_sub(WAY_BACK).min(route.timeout));
-        let deadline = context.last_answer.borrow().map_or(deadline, |end| deadline.min(end));
+        let deadline = context.answer_deadline.borrow().map_or(deadline, |end| deadline.min(end));
         let service = context.choose_service(&route);
         Self {
             context,
--- a/crates/gateway/src/traffic/judge.rs
+++ b/crates/gateway/src/traffic/judge.rs
@@ -84,5 +84,5 @@
 /// The load that a target reported with its answer; one that can't be read counts as none.
 pub fn figures(dialect: &Dialect, answer: &WholeAnswer) -> Option<TargetLoad> {
     let text = answer.headers.get(&dialect.headers.load)?.to_str().ok()?;
-    (dialect.load_figures)(text)
+    (dialect.parse_load)(text)
 }
--- a/crates/gateway/src/traffic/lateness.rs
+++ b/crates/gateway/src/traffic/lateness.rs
@@ -15,10 +15,10 @@
 pub async fn lateness(context: Arc<Context>) {
     loop {
         if context.callers.in_flight() == 0 {
-            context.begins.notified().await;
+            context.request_started.notified().await;
         }
         let due = context.clock.now().plus(SAMPLE);
         tokio::time::sleep(SAMPLE).await;
-        context.note_lateness(context.clock.now().since(due));
+        context.record_scheduling_delay(context.clock.now().since(due));
     }
 }
--- a/crates/gateway/src/traffic/probes.rs
+++ b/crates/gateway/src/traffic/probes.rs
@@ -12,11 +12,11 @@
 use shallotfork_exchange::{AnswerOwner, LinkRequest, Purpose};
 use shallotfork_types::{Endpoint, FailureDomain, ServiceName, TargetId};
 
-use crate::carried::{Carried, message_bytes};
 use crate::context::Context;
-use crate::line_budget::LineLeave;
+use crate::log_budget::LogDecision;
 use crate::traffic::judge::figures;
 use crate::traffic::service_slots::ServiceSlots;
+use crate::transfer::{TransferKind, message_bytes};
 
 /// How often the pools are asked which targets to probe; half of the time between two probes of a
 /// target.
@@ -35,14 +35,14 @@
     loop {
         let services = context.services.all();
         if services.iter().all(|(_, slots)| !slots.has_waiting()) {
-            context.waits.notified().await;
+            context.request_queued.notified().await;
             continue;
         }
         tokio::time::sleep(LOOK).await;
         services.iter().for_each(|(_, slots)| slots.expire());
         // An entry that callers are not sent to serves a few requests with old addresses; were all
         // entries to probe for these, probing would cost more than the requests.
-        if !context.fleet.load().active {
+        if !context.fleet.load().is_advertised {
             continue;
         }
         for (service, slots) in services {
@@ -80,7 +80,7 @@
     target: &TargetId,
 ) -> Probed {
     // An answer that has come may wait that long until it is read.
-    let patience = PROMPT + context.late_by();
+    let patience = PROMPT + context.scheduling_delay();
     let is_accepted = Arc::new(AtomicBool::new(false));
     let asking = {
         let (context, slots) = (Arc::clone(context), Arc::clone(slots));
@@ -119,7 +119,7 @@
     };
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = uri;
-    Carried::Questions.count(&domain, message_bytes(request.headers(), 0));
+    TransferKind::Probes.record_bytes(&domain, message_bytes(request.headers(), 0));
     let asked = LinkRequest {
         target,
         endpoint,
@@ -138,7 +138,7 @@
         slots.probe_failed(target, late_by);
         return Probed::Silent;
     };
-    Carried::Questions.count(&domain, message_bytes(&answer.headers, answer.body.len()));
+    TransferKind::Probes.record_bytes(&domain, message_bytes(&answer.headers, answer.body.len()));
     note_warmup(context, slots, target, &answer.headers);
     match figures(&context.dialect, &answer) {
         Some(figures) => {
@@ -158,7 +158,9 @@
     let remaining_ms = value.to_str().ok().and_then(|text| text.trim().parse().ok());
     if let Some(remaining_ms) = remaining_ms {
         slots.told_cold_for(target, Duration::from_millis(remaining_ms));
-    } else if let LineLeave::Write { left_out } = context.invalid_lines.ask(context.clock.now()) {
+    } else if let LogDecision::Write { left_out } =
+        context.invalid_log_budget.try_acquire(context.clock.now())
+    {
         event!(context.log, WARMUP_INVALID, "target" => target.as_str(), "left_out" => left_out);
     }
 }
--- a/crates/gateway/src/traffic/rate_limit.rs
+++ b/crates/gateway/src/traffic/rate_limit.rs
@@ -6,7 +6,7 @@
 use shallotfork_types::{RequestRate, TargetId};
 
 use crate::context::{Context, lock};
-use crate::line_budget::LineLeave;
+use crate::log_budget::LogDecision;
 
 /// The rate limit information in an answer.
 enum AdvertisedLimit {
@@ -65,7 +65,9 @@
 }
 
 fn log_invalid(context: &Context, target: &TargetId) {
-    let LineLeave::Write { left_out } = context.invalid_lines.ask(context.clock.now()) else {
+    let LogDecision::Write { left_out } =
+        context.invalid_log_budget.try_acquire(context.clock.now())
+    else {
         return;
     };
     event!(context.log, RATE_LIMIT_INVALID, "target" => target.as_str(), "left_out" => left_out);
--- a/crates/gateway/src/traffic/service_load.rs
+++ b/crates/gateway/src/traffic/service_load.rs
@@ -34,9 +34,9 @@
 }
 
 fn report_lateness(context: &Context) {
-    let late = context.late_by();
+    let late = context.scheduling_delay();
     gauge!("shallotfork_lateness_seconds").set(late.as_secs_f64());
-    if !context.is_behind() {
+    if !context.is_overloaded() {
         return;
     }
     event!(context.log, BEHIND,
--- a/crates/gateway/src/carried.rs
+++ b/crates/gateway/src/transfer.rs
@@ -10,22 +10,22 @@
 
 /// What was carried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Carried {
+pub enum TransferKind {
     /// Requests to targets.
     Requests,
     /// Answers of targets.
     Answers,
-    /// Questions to targets for their load, with the answers.
-    Questions,
+    /// Probes to targets for their load, with the answers.
+    Probes,
     /// Heartbeats called by this entry, with the answers and the connections for them.
     Heartbeats,
     /// Published items read from other entries.
-    Lists,
+    Pulls,
 }
 
-impl Carried {
+impl TransferKind {
     /// Adds bytes exchanged with a failure domain.
-    pub fn count(self, domain: &FailureDomain, bytes: u64) {
+    pub fn record_bytes(self, domain: &FailureDomain, bytes: u64) {
         let domain = domain.as_str().to_owned();
         counter!("shallotfork_bytes", "kind" => self.as_str(), "domain" => domain).increment(bytes);
     }
@@ -34,9 +34,9 @@
         match self {
             Self::Requests => "requests",
             Self::Answers => "answers",
-            Self::Questions => "questions",
+            Self::Probes => "questions",
             Self::Heartbeats => "heartbeats",
-            Self::Lists => "lists",
+            Self::Pulls => "lists",
         }
     }
 }
