--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of one process share.
+//! State shared by the threads of one entry process.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -22,56 +22,57 @@
 use crate::snapshot::{FleetSnapshot, Published};
 use crate::traffic::{ProbeCounts, ServiceSlots};
 
-/// Work that waits longer than this for the processor makes callers notice; a busy process has shorter
-/// waits.
-const BEHIND_FROM: Duration = Duration::from_millis(50);
+/// Scheduling delay from which the process counts as overloaded. Callers notice longer delays; a
+/// process that is merely busy has shorter ones.
+const OVERLOAD_THRESHOLD: Duration = Duration::from_millis(50);
 
-/// Time after the last answer is due in which requests that know of it end by themselves.
-const OWN_END_MAX: Duration = Duration::from_millis(50);
+/// Time after the answer deadline before unfinished requests are cut short. Requests that know the
+/// deadline end by themselves within this time.
+const ANSWER_DEADLINE_SLACK: Duration = Duration::from_millis(50);
 
-/// Shared by the control thread and the traffic threads.
+/// State shared by the control thread and the traffic threads.
 pub struct Context {
-    /// Settings.
+    /// Settings of this entry.
     pub settings: GatewaySettings,
-    /// This run of the process.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Header names and forms of the platform.
+    /// Header names, paths and formats of the platform.
     pub dialect: Dialect,
-    /// The monotonic clock.
+    /// Monotonic clock, which starts with the process.
     pub clock: Clock,
-    /// The logger.
+    /// Logger of this process.
     pub log: Logger,
-    /// State of the life cycle.
+    /// Life cycle phase of the process.
     pub phase: watch::Receiver<Phase>,
-    /// What is published.
+    /// Published routes, targets and evacuations.
     pub published: ArcSwap<Published>,
-    /// Which entries live.
+    /// View of the fleet.
     pub fleet: ArcSwap<FleetSnapshot>,
-    /// The callers' port.
+    /// Control of the callers' port.
     pub callers: ServeControl,
     /// Connections to targets.
     pub links: TargetLinks,
-    /// How questions to targets for their load ended.
+    /// Counts of load probes of targets, by outcome.
     pub probe_counts: ProbeCounts,
-    /// Bytes of bodies held.
+    /// Budget for the bodies held in memory.
     pub body_budget: BodyBudget,
     /// Slots of each service.
     pub services: Services,
-    /// Signalled when a request begins to wait for a slot.
+    /// Signalled when a request starts to wait for a slot.
     pub request_queued: Arc<Notify>,
-    /// Shares of services within a route.
+    /// Splits the requests of a route among its services.
     pub splitter: Mutex<Splitter>,
-    /// Estimators of the time that callers of each route waited before a request arrived.
+    /// Estimates of how long callers had waited before their requests arrived.
     pub prior_waits: PriorWaitEstimators,
-    /// When the last answer of a stopping process is due; `None` while it does not stop.
+    /// Deadline for the last answer of a stopping process; `None` while it is not stopping.
     pub answer_deadline: watch::Sender<Option<Mono>>,
-    /// Bounds the lines about requests that went well.
+    /// Budget for log lines about successful requests.
     pub request_log_budget: LogBudget,
-    /// Bounds the lines about what targets say that is not valid.
+    /// Budget for log lines about invalid data from targets.
     pub invalid_log_budget: LogBudget,
-    /// Signalled when a request begins.
+    /// Signalled when a request starts.
     pub request_started: Notify,
-    /// How late the traffic threads do their work.
+    /// Scheduling delay of the traffic threads.
     pub scheduling_delay: Mutex<SchedulingDelay>,
     /// Rate limits advertised by targets.
     pub rate_limits: Mutex<RateLimits>,
@@ -82,81 +83,84 @@
 }
 
 impl Context {
-    /// How long this process has run; its clock begins with it.
+    /// Returns the time since the start of the process, which is also the start of its clock.
     pub fn uptime(&self) -> Duration {
         self.clock.now().since(Mono::ZERO)
     }
 
-    /// The service for the next request of a route.
+    /// Chooses the service for the next request of a route.
     pub fn choose_service(&self, route: &Route) -> ServiceName {
         lock(&self.splitter).next(route)
     }
 
-    /// The slots of a service.
+    /// Returns the slots of a service, creating them on first use.
     pub fn slots(&self, service: &ServiceName) -> Arc<ServiceSlots> {
         let window = self.settings.retry_window;
-        let near = Some(self.settings.failure_domain.clone());
+        let own_domain = Some(self.settings.failure_domain.clone());
         let name = self.settings.vm.to_string();
-        let config = || SlotPoolConfig { name, failure_domain: near, ..SlotPoolConfig::default() };
-        self.services.get(service, || {
-            let waits = Arc::clone(&self.request_queued);
+        let config =
+            || SlotPoolConfig { name, failure_domain: own_domain, ..SlotPoolConfig::default() };
+        self.services.get_or_insert_with(service, || {
+            let request_queued = Arc::clone(&self.request_queued);
             ServiceSlots::new(
                 service.clone(),
                 config(),
                 window,
                 self.clock,
                 self.log.clone(),
-                waits,
+                request_queued,
             )
         })
     }
 
-    /// Has every request answered by then, also one whose own deadline is later: the process ends
-    /// soon after, and would cut it off.
-    pub fn set_answer_deadline(&self, end: Mono) {
-        self.answer_deadline.send_replace(Some(end));
+    /// Sets the deadline for all answers, including those to requests whose own deadline is later.
+    /// The process ends soon afterwards and would cut these off.
+    pub fn set_answer_deadline(&self, deadline: Mono) {
+        self.answer_deadline.send_replace(Some(deadline));
     }
 
-    /// Ends when a stopping process can't wait for a request any longer.
+    /// Completes once a stopping process can't wait for its requests any longer.
     pub async fn wait_for_answer_deadline(&self) {
         let mut answer_deadline = self.answer_deadline.subscribe();
-        let Ok(Some(end)) = answer_deadline.wait_for(Option::is_some).await.map(|end| *end) else {
+        let Ok(Some(deadline)) =
+            answer_deadline.wait_for(Option::is_some).await.map(|deadline| *deadline)
+        else {
             return std::future::pending().await;
         };
-        let end = end.plus(OWN_END_MAX);
-        tokio::time::sleep(end.since(self.clock.now())).await;
+        let deadline = deadline.plus(ANSWER_DEADLINE_SLACK);
+        tokio::time::sleep(deadline.since(self.clock.now())).await;
     }
 
-    /// How late the traffic threads do their work.
+    /// Returns the current scheduling delay of the traffic threads.
     pub fn scheduling_delay(&self) -> Duration {
         lock(&self.scheduling_delay).at(self.clock.now())
     }
 
-    /// Whether work waits for the processor.
+    /// Whether work waits so long for the processor that callers notice.
     pub fn is_overloaded(&self) -> bool {
-        self.scheduling_delay() >= BEHIND_FROM
+        self.scheduling_delay() >= OVERLOAD_THRESHOLD
     }
 
-    /// A piece of work was done so much later than planned.
-    pub fn record_scheduling_delay(&self, late: Duration) {
-        lock(&self.scheduling_delay).record(late, self.clock.now());
+    /// Records how much later than planned a piece of work ran.
+    pub fn record_scheduling_delay(&self, delay: Duration) {
+        lock(&self.scheduling_delay).record(delay, self.clock.now());
     }
 
-    /// Whether callers are told to come here.
+    /// Whether the process is in the phase in which callers may be sent to it.
     pub fn is_serving(&self) -> bool {
         *self.phase.borrow() == Phase::Serving
     }
 }
 
-/// The slots of each service; a service comes into being when it is first named.
+/// The slots of each service. A service is added when it is first used.
 #[derive(Debug, Default)]
 pub struct Services {
     by_name: Mutex<HashMap<ServiceName, Arc<ServiceSlots>>>,
 }
 
 impl Services {
-    /// The slots of a service, made by `new` if it is not known yet.
-    pub fn get(
+    /// Returns the slots of a service, created by `new` if there are none yet.
+    pub fn get_or_insert_with(
         &self,
         service: &ServiceName,
         new: impl FnOnce() -> Arc<ServiceSlots>,
@@ -165,30 +169,32 @@
         Arc::clone(by_name.entry(service.clone()).or_insert_with(new))
     }
 
-    /// Every service known.
+    /// Returns all services with their slots.
     pub fn all(&self) -> Vec<(ServiceName, Arc<ServiceSlots>)> {
         let by_name = lock(&self.by_name);
         by_name.iter().map(|(name, slots)| (name.clone(), Arc::clone(slots))).collect()
     }
 }
 
-/// What is known of the deadlines that callers of each route send.
+/// Estimates how long callers had waited before their requests arrived, from the deadlines that the
+/// callers of each route send.
 #[derive(Debug, Default)]
 pub struct PriorWaitEstimators {
     by_route: Mutex<HashMap<RouteName, PriorWaitEstimator>>,
 }
 
 impl PriorWaitEstimators {
-    /// How long a caller with this deadline had waited before it came here, at least.
+    /// Returns a lower bound on the time that a caller with this deadline had waited before its
+    /// request arrived.
     pub fn estimate(&self, route: &RouteName, deadline: Duration) -> Duration {
         let mut by_route = lock(&self.by_route);
-        let known =
+        let estimator =
             by_route.entry(route.clone()).or_insert_with(|| PriorWaitEstimator::new(deadline));
-        known.estimate(deadline)
+        estimator.estimate(deadline)
     }
 }
 
-/// Takes a lock whose holders never leave its content half changed.
+/// Locks a mutex and ignores poisoning, because holders never leave the data half changed.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- /dev/null
+++ b/crates/gateway/src/control/advertise.rs
@@ -0,0 +1,112 @@
+//! Publishes which entries are advertised to callers.
+
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use shallotfork_events::{ACTIVE_CHANGED, ENTRY_CHANGED, event};
+use shallotfork_fleet::{AdvertisedEntry, FleetView};
+use shallotfork_membership::EntryVm;
+use shallotfork_types::VmId;
+
+use crate::control::publish::publish_sharers;
+use crate::control::state::ControlState;
+use crate::snapshot::FleetSnapshot;
+
+/// Time after the start in which an entry discovers the others: a few heartbeats.
+const SETTLE_TIME: Duration = Duration::from_millis(1000);
+
+/// Publishes the view of the fleet for the directory if it has changed.
+pub fn update_advertised_entries(state: &ControlState) {
+    let view = state.view();
+    let previous = state.last_view.replace(Some(Rc::clone(&view)));
+    if previous.as_ref().is_some_and(|previous| Rc::ptr_eq(previous, &view)) {
+        return;
+    }
+    log_view_changes(state, previous.as_deref(), &view);
+    let advertised = view.advertised.clone();
+    let previous_advertised =
+        previous.map_or_else(Vec::new, |previous| previous.advertised.clone());
+    let has_changed = previous_advertised != advertised;
+    if needs_caller_rebalance(state, &previous_advertised, &advertised) {
+        rebalance_callers(state);
+    }
+    let live_entries = view.core_entries.len();
+    state.known_entries.set(state.known_entries.get().max(live_entries));
+    if has_changed {
+        let names: Vec<&str> = advertised.iter().map(|entry| entry.vm.as_str()).collect();
+        event!(state.context.log, ACTIVE_CHANGED, "entries" => names.join(","),
+            "live" => live_entries, "known" => state.known_entries.get());
+    }
+    let is_advertised =
+        advertised.is_empty() || contains_vm(&advertised, &state.context.settings.vm);
+    let is_settled = state.context.fleet.load().is_settled;
+    let fleet = FleetSnapshot {
+        advertised,
+        is_advertised,
+        live_entries,
+        known_entries: state.known_entries.get(),
+        is_settled,
+    };
+    let share = fleet.share();
+    let previous_share = state.context.fleet.swap(Arc::new(fleet)).share();
+    if has_changed || previous_share != share {
+        publish_sharers(state);
+    }
+}
+
+/// Marks this process as settled once it has run for long enough to have discovered the others.
+pub fn mark_settled(state: &ControlState) {
+    let fleet = state.context.fleet.load();
+    if fleet.is_settled || state.context.uptime() < SETTLE_TIME {
+        return;
+    }
+    state
+        .context
+        .fleet
+        .store(Arc::new(FleetSnapshot { is_settled: true, ..FleetSnapshot::clone(&fleet) }));
+    publish_sharers(state);
+}
+
+/// Whether the callers of this entry should choose again, because the entries advertised beside it
+/// in its failure domain have changed. Callers keep their connections for as long as this entry
+/// stays advertised, so the other entries would get only new callers.
+fn needs_caller_rebalance(
+    state: &ControlState,
+    previous: &[AdvertisedEntry],
+    current: &[AdvertisedEntry],
+) -> bool {
+    let settings = &state.context.settings;
+    let local_vms = |entries: &[AdvertisedEntry]| -> Vec<VmId> {
+        let local = entries.iter().filter(|entry| entry.failure_domain == settings.failure_domain);
+        local.map(|entry| entry.vm.clone()).collect()
+    };
+    let (previous, current) = (local_vms(previous), local_vms(current));
+    let stays = previous.contains(&settings.vm) && current.contains(&settings.vm);
+    stays && previous != current && current.len() > 1
+}
+
+fn contains_vm(entries: &[AdvertisedEntry], vm: &VmId) -> bool {
+    entries.iter().any(|entry| entry.vm == *vm)
+}
+
+/// Asks callers to choose an entry again once they know the entries that are advertised now.
+fn rebalance_callers(state: &ControlState) {
+    let ttl = state.context.settings.directory_ttl;
+    let callers = state.context.callers.clone();
+    tokio::task::spawn_local(async move {
+        tokio::time::sleep(ttl).await;
+        callers.renew_connections();
+    });
+}
+
+fn log_view_changes(state: &ControlState, previous: Option<&FleetView>, current: &FleetView) {
+    let is_changed =
+        |entry: &&EntryVm| previous.and_then(|view| view.entries.get(&entry.vm)) != Some(*entry);
+    for entry in current.entries.values().filter(is_changed) {
+        let incarnation =
+            entry.incarnation.map_or_else(|| "unknown".to_owned(), |known| known.to_string());
+        event!(state.context.log, ENTRY_CHANGED, "entry" => entry.vm.as_str(),
+            "state" => entry.state.to_string(), "incarnation" => incarnation);
+    }
+}
--- a/crates/gateway/src/control/handler.rs
+++ b/crates/gateway/src/control/handler.rs
@@ -1,4 +1,4 @@
-//! What this process does when another entry calls it.
+//! Serves the calls of other entries.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,15 +9,15 @@
 };
 use shallotfork_peer::{Changes, ChangesAsked, Heartbeat, PeerHandler, PeerId};
 
-use crate::control::hearing::{heard, own_heartbeat};
-use crate::control::state::State;
-use crate::control::telling::told;
+use crate::control::heartbeat_messages::{build_heartbeat, receive_heartbeat};
+use crate::control::serve_pulls::answer_pull;
+use crate::control::state::ControlState;
 
-/// Answers heartbeats. On a platform without sessions there are no operations to claim, so that
-/// every call about them is answered as by a process that issued none.
+/// Answers the calls of other entries. On a platform without sessions there are no operations to
+/// claim, so calls about operations are answered as by a process that issued none.
 pub struct Handler {
     /// State of the control thread.
-    pub state: Rc<State>,
+    pub state: Rc<ControlState>,
 }
 
 impl PeerHandler for Handler {
@@ -25,9 +25,9 @@
         event!(self.state.context.log, PEER_REFUSED, "peer" => from.to_string());
     }
 
-    async fn heartbeat(&self, from: &PeerId, beat: Heartbeat) -> Heartbeat {
-        heard(&self.state, from, &beat);
-        own_heartbeat(&self.state, &from.vm, Some(beat.quarantine_digest))
+    async fn heartbeat(&self, from: &PeerId, heartbeat: Heartbeat) -> Heartbeat {
+        receive_heartbeat(&self.state, from, &heartbeat);
+        build_heartbeat(&self.state, &from.vm, Some(heartbeat.quarantine_digest))
     }
 
     async fn claim(&self, _operation: OperationId, _claim: ClaimId) -> ClaimAnswer {
@@ -55,8 +55,8 @@
         None
     }
 
-    async fn changes(&self, asked: ChangesAsked) -> Option<Changes> {
-        told(&self.state, asked)
+    async fn changes(&self, request: ChangesAsked) -> Option<Changes> {
+        answer_pull(&self.state, request)
     }
 
     async fn push(&self, _from: &PeerId, _changes: Changes) {}
--- a/crates/gateway/src/control/hearing.rs
+++ b/crates/gateway/src/control/heartbeat_messages.rs
@@ -1,4 +1,4 @@
-//! Between the fleet's own account of heartbeats and the messages that carry them.
+//! Converts between the fleet's heartbeats and the messages that carry them.
 
 use shallotfork_fleet::{FleetHeartbeat, PlatformAges};
 use shallotfork_measure::RateLimitReport;
@@ -8,15 +8,19 @@
 use shallotfork_types::VmId;
 
 use crate::context::lock;
-use crate::control::reader::note_sight;
-use crate::control::state::State;
+use crate::control::reader::update_platform_state;
+use crate::control::state::ControlState;
 use crate::traffic::{apply_rate_limit, log_quarantined};
 
-/// What this process says of itself to an entry, with the news that is due to that one.
-/// `peer_digest` is the digest in the heartbeat that is being answered, if any.
-pub fn own_heartbeat(state: &State, to: &VmId, peer_digest: Option<QuarantineDigest>) -> Heartbeat {
+/// Builds the heartbeat to an entry, with the membership updates that are due to it. `peer_digest`
+/// is the digest in the heartbeat that is being answered, if any.
+pub fn build_heartbeat(
+    state: &ControlState,
+    to: &VmId,
+    peer_digest: Option<QuarantineDigest>,
+) -> Heartbeat {
     let (crash_reports, quarantine_digest) = quarantine_reports(state, peer_digest);
-    let beat = state.fleet.borrow_mut().heartbeat_for(to, state.now());
+    let heartbeat = state.fleet.borrow_mut().heartbeat_for(to, state.now());
     let FleetHeartbeat {
         from,
         is_starting,
@@ -26,7 +30,7 @@
         platform,
         domain_entries,
         is_overloaded,
-    } = beat;
+    } = heartbeat;
     let position = state.archive.borrow().position();
     Heartbeat {
         state: peer_state(from.listed.leaving, is_starting),
@@ -34,12 +38,12 @@
         callers: from.listed.callers,
         peers: from.listed.peers,
         round: from.round,
-        news: updates.into_iter().map(peer_news).collect(),
+        news: updates.into_iter().map(peer_update).collect(),
         seen_revision: position,
         synced_revision: position,
         lists_digest: core_digest,
         platform_lost: is_disconnected,
-        platform: platform_word(platform),
+        platform: platform_report(platform),
         domain_entries,
         behind: is_overloaded,
         crash_reports,
@@ -51,26 +55,26 @@
     }
 }
 
-/// Takes another entry's heartbeat.
-pub fn heard(state: &State, peer: &PeerId, heartbeat: &Heartbeat) {
-    let beat = FleetHeartbeat {
+/// Applies a heartbeat received from another entry.
+pub fn receive_heartbeat(state: &ControlState, peer: &PeerId, heartbeat: &Heartbeat) {
+    let received = FleetHeartbeat {
         from: announcement(peer, heartbeat),
         is_starting: heartbeat.state == PeerState::Starting,
-        updates: heartbeat.news.iter().map(told_news).collect(),
+        updates: heartbeat.news.iter().map(member_update).collect(),
         core_digest: heartbeat.lists_digest,
         is_disconnected: heartbeat.platform_lost,
         platform: platform_ages(heartbeat.platform),
         domain_entries: heartbeat.domain_entries,
         is_overloaded: heartbeat.behind,
     };
-    state.fleet.borrow_mut().receive_heartbeat(&beat, state.now());
-    note_sight(state);
+    state.fleet.borrow_mut().receive_heartbeat(&received, state.now());
+    update_platform_state(state);
     merge_crash_reports(state, &heartbeat.crash_reports);
     merge_rate_limits(state, &heartbeat.rate_limits);
 }
 
 fn quarantine_reports(
-    state: &State,
+    state: &ControlState,
     peer_digest: Option<QuarantineDigest>,
 ) -> (Vec<CrashReport>, QuarantineDigest) {
     let now = state.now();
@@ -78,7 +82,7 @@
     (quarantine.reports(peer_digest, now), quarantine.digest(now))
 }
 
-fn merge_rate_limits(state: &State, reports: &[RateLimitReport]) {
+fn merge_rate_limits(state: &ControlState, reports: &[RateLimitReport]) {
     let context = &state.context;
     for report in reports {
         let mut rate_limits = lock(&context.rate_limits);
@@ -88,7 +92,7 @@
     }
 }
 
-fn merge_crash_reports(state: &State, reports: &[CrashReport]) {
+fn merge_crash_reports(state: &ControlState, reports: &[CrashReport]) {
     for report in reports {
         let newly_quarantined = lock(&state.context.quarantine).merge(report, state.now());
         if newly_quarantined {
@@ -97,40 +101,40 @@
     }
 }
 
-fn announcement(peer: &PeerId, beat: &Heartbeat) -> Announcement {
+fn announcement(peer: &PeerId, heartbeat: &Heartbeat) -> Announcement {
     Announcement {
         listed: ListedVm {
             vm: peer.vm.clone(),
-            failure_domain: beat.failure_domain.clone(),
-            callers: beat.callers,
-            peers: beat.peers,
-            leaving: beat.state == PeerState::Leaving,
-            capacity: beat.strength,
+            failure_domain: heartbeat.failure_domain.clone(),
+            callers: heartbeat.callers,
+            peers: heartbeat.peers,
+            leaving: heartbeat.state == PeerState::Leaving,
+            capacity: heartbeat.strength,
         },
         incarnation: peer.incarnation,
-        round: beat.round,
+        round: heartbeat.round,
     }
 }
 
-fn peer_state(leaving: bool, starting: bool) -> PeerState {
-    if leaving {
+fn peer_state(is_leaving: bool, is_starting: bool) -> PeerState {
+    if is_leaving {
         return PeerState::Leaving;
     }
-    if starting { PeerState::Starting } else { PeerState::Live }
+    if is_starting { PeerState::Starting } else { PeerState::Live }
 }
 
-fn platform_word(ages: PlatformAges) -> PlatformWord {
+fn platform_report(ages: PlatformAges) -> PlatformWord {
     let PlatformAges { last_answer, reader_last_seen, outage } = ages;
     PlatformWord { answered: last_answer, reader_heard: reader_last_seen, away: outage }
 }
 
-fn platform_ages(word: PlatformWord) -> PlatformAges {
-    let PlatformWord { answered, reader_heard, away } = word;
+fn platform_ages(report: PlatformWord) -> PlatformAges {
+    let PlatformWord { answered, reader_heard, away } = report;
     PlatformAges { last_answer: answered, reader_last_seen: reader_heard, outage: away }
 }
 
-fn peer_news(news: MemberUpdate) -> PeerNews {
-    let MemberUpdate { about, suspected } = news;
+fn peer_update(update: MemberUpdate) -> PeerNews {
+    let MemberUpdate { about, suspected } = update;
     PeerNews {
         about: PeerId::new(about.listed.vm, about.incarnation),
         round: about.round,
@@ -143,18 +147,18 @@
     }
 }
 
-fn told_news(news: &PeerNews) -> MemberUpdate {
+fn member_update(update: &PeerNews) -> MemberUpdate {
     let about = Announcement {
         listed: ListedVm {
-            vm: news.about.vm.clone(),
-            failure_domain: news.failure_domain.clone(),
-            callers: news.callers,
-            peers: news.peers,
-            leaving: news.state == PeerState::Leaving,
-            capacity: news.strength,
+            vm: update.about.vm.clone(),
+            failure_domain: update.failure_domain.clone(),
+            callers: update.callers,
+            peers: update.peers,
+            leaving: update.state == PeerState::Leaving,
+            capacity: update.strength,
         },
-        incarnation: news.about.incarnation,
-        round: news.round,
+        incarnation: update.about.incarnation,
+        round: update.round,
     };
-    MemberUpdate { about, suspected: news.suspected }
+    MemberUpdate { about, suspected: update.suspected }
 }
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -1,16 +1,17 @@
-//! The control thread: what is published, and which entries live.
+//! The control thread: reads published items, tracks the live entries, and publishes both for the
+//! traffic threads.
 
-mod beats;
+mod advertise;
 mod handler;
-mod hearing;
-mod naming;
+mod heartbeat_messages;
+mod heartbeats;
 mod peers;
 mod publish;
+mod pull;
+mod pulled_items;
 mod reader;
-mod reading;
-mod relay;
+mod serve_pulls;
 mod state;
-mod telling;
 mod thread;
 
 pub use thread::{ControlHandle, ControlParts, start};
--- a/crates/gateway/src/control/peers.rs
+++ b/crates/gateway/src/control/peers.rs
@@ -7,47 +7,48 @@
 use shallotfork_peer::{PeerClient, PeerConfig, PeerError, PeerId, PeerKey};
 use shallotfork_types::Endpoint;
 
-/// One kept connection to each entry that is called.
+/// Open connections to other entries, at most one to each.
 pub struct Peers {
     key: PeerKey,
     own: PeerId,
     config: PeerConfig,
     clients: RefCell<BTreeMap<Endpoint, Rc<PeerClient>>>,
     /// Entries with a call in flight.
-    busy: RefCell<BTreeSet<Endpoint>>,
+    in_flight: RefCell<BTreeSet<Endpoint>>,
 }
 
-/// One call to an entry at a time; the next may begin when this is dropped.
-pub struct Turn<'a> {
+/// Guard for a call to an entry. The next call to that entry may begin when this is dropped.
+pub struct CallGuard<'a> {
     peers: &'a Peers,
     endpoint: Endpoint,
 }
 
-impl Drop for Turn<'_> {
+impl Drop for CallGuard<'_> {
     fn drop(&mut self) {
-        self.peers.busy.borrow_mut().remove(&self.endpoint);
+        self.peers.in_flight.borrow_mut().remove(&self.endpoint);
     }
 }
 
 impl Peers {
-    /// No connection is open yet.
+    /// Creates an instance without open connections.
     pub fn new(key: PeerKey, own: PeerId, config: PeerConfig) -> Self {
-        Self { key, own, config, clients: RefCell::default(), busy: RefCell::default() }
+        Self { key, own, config, clients: RefCell::default(), in_flight: RefCell::default() }
     }
 
-    /// The turn to call an entry, unless a call to it is in flight.
-    pub fn turn(&self, endpoint: Endpoint) -> Option<Turn<'_>> {
-        let free = self.busy.borrow_mut().insert(endpoint);
-        free.then_some(Turn { peers: self, endpoint })
+    /// Returns a guard for a call to an entry; `None` while another call to it is in flight.
+    pub fn try_begin_call(&self, endpoint: Endpoint) -> Option<CallGuard<'_>> {
+        let is_free = self.in_flight.borrow_mut().insert(endpoint);
+        is_free.then_some(CallGuard { peers: self, endpoint })
     }
 
-    /// The connection to an entry, opened if there is none.
+    /// Returns the connection to an entry, opening one if there is none.
     ///
     /// # Errors
-    /// When it can't be opened in time, or the other side does not prove the key.
+    /// Returns an error if the connection can't be opened in time or the other side does not prove
+    /// the key.
     pub async fn client(&self, endpoint: Endpoint) -> Result<Rc<PeerClient>, PeerError> {
-        let known = self.clients.borrow().get(&endpoint).cloned();
-        if let Some(client) = known.filter(|client| !client.is_closed()) {
+        let open = self.clients.borrow().get(&endpoint).cloned();
+        if let Some(client) = open.filter(|client| !client.is_closed()) {
             return Ok(client);
         }
         let opened = PeerClient::connect(endpoint, &self.key, &self.own, &self.config).await?;
@@ -61,11 +62,11 @@
         self.clients.borrow_mut().remove(&endpoint);
     }
 
-    /// Closes the connections to entries that are no longer called.
-    pub fn keep_only(&self, called: &BTreeSet<Endpoint>) {
-        let busy = self.busy.borrow();
+    /// Closes all connections except those to `kept` and those with a call in flight.
+    pub fn retain(&self, kept: &BTreeSet<Endpoint>) {
+        let in_flight = self.in_flight.borrow();
         self.clients
             .borrow_mut()
-            .retain(|endpoint, _| called.contains(endpoint) || busy.contains(endpoint));
+            .retain(|endpoint, _| kept.contains(endpoint) || in_flight.contains(endpoint));
     }
 }
--- a/crates/gateway/src/control/publish.rs
+++ b/crates/gateway/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! Hands what is published to the traffic threads.
+//! Applies published items and publishes the result for the traffic threads.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -14,59 +14,59 @@
 use shallotfork_types::{Revision, ServiceName, TargetId, Warmup};
 
 use crate::context::lock;
-use crate::control::reader::note_sight;
-use crate::control::state::State;
+use crate::control::reader::update_platform_state;
+use crate::control::state::ControlState;
 use crate::log_budget::LogDecision;
 use crate::snapshot::Published;
 use crate::traffic::ServiceSlots;
 use shallotfork_feed::{Decoded, FeedChanges, RawItem};
 use shallotfork_fleet::OwnState;
 
-/// Changes of targets in one reading that are logged one by one.
-const CHANGE_LINES_MAX: usize = 20;
+/// Target changes in one read that are logged individually; more are summarized in one line.
+const LOGGED_CHANGES_MAX: usize = 20;
 
-/// Changes of targets and evacuations among published items.
+/// Changes of targets and evacuations decoded from published items.
 #[derive(Debug, Default)]
-struct Taken {
+struct DecodedChanges {
     targets: Vec<TargetChange>,
     evacuations: Vec<EvacuationChange>,
 }
 
-/// Takes everything that a full read brought, which began at `revision`.
-pub fn take_all(state: &State, items: &[RawItem], revision: Revision) {
+/// Applies the result of a full read that began at `revision`.
+pub fn apply_snapshot(state: &ControlState, items: &[RawItem], revision: Revision) {
     state.archive.borrow_mut().replace(items, revision);
-    let Taken { targets, evacuations } = take_routes(state, items);
+    let DecodedChanges { targets, evacuations } = apply_routes(state, items);
     let now = state.context.clock.now();
     let evacuated = state.evacuations.borrow_mut().replace(evacuations, revision, now);
     let changed = state.roster.borrow_mut().replace(targets, revision, now);
     publish(state, &changed, &evacuated);
 }
 
-/// Takes what has changed since the position of the archive.
-pub fn take_changes(state: &State, changes: &FeedChanges) {
+/// Applies the changes that follow the position of the archive.
+pub fn apply_changes(state: &ControlState, changes: &FeedChanges) {
     state.archive.borrow_mut().apply(changes);
     if changes.items.is_empty() {
         return;
     }
-    let Taken { targets, evacuations } = take_routes(state, &changes.items);
+    let DecodedChanges { targets, evacuations } = apply_routes(state, &changes.items);
     let now = state.context.clock.now();
     let evacuated = state.evacuations.borrow_mut().apply(evacuations, now);
     let changed = state.roster.borrow_mut().apply(targets, now);
     publish(state, &changed, &evacuated);
 }
 
-/// Ends targets that have been missing for too long.
-pub fn expire_targets(state: &State) {
-    note_sight(state);
+/// Expires targets that have been missing for too long.
+pub fn expire_targets(state: &ControlState) {
+    update_platform_state(state);
     let changed = state.roster.borrow_mut().expire(state.context.clock.now());
     if !changed.is_empty() {
         publish(state, &changed, &[]);
     }
 }
 
-/// Takes the routes among the items and returns the other changes.
-fn take_routes(state: &State, items: &[RawItem]) -> Taken {
-    let mut taken = Taken::default();
+/// Applies the routes among the items and returns the other changes.
+fn apply_routes(state: &ControlState, items: &[RawItem]) -> DecodedChanges {
+    let mut decoded = DecodedChanges::default();
     for item in items {
         match state.feed.decode(item) {
             Decoded::Routes { table, ignored } => {
@@ -79,23 +79,23 @@
             }
             Decoded::Target { change, ignored } => {
                 ignored.iter().for_each(|reason| log_ignored(state, item, reason));
-                taken.targets.push(change);
+                decoded.targets.push(change);
             }
-            Decoded::Evacuation(change) => taken.evacuations.push(change),
+            Decoded::Evacuation(change) => decoded.evacuations.push(change),
             Decoded::BadEvacuation { reason, change } => {
                 event!(state.context.log, EVACUATION_INVALID, "reason" => reason,
                     "revision" => item.revision.value());
-                taken.evacuations.extend(change);
+                decoded.evacuations.extend(change);
             }
             Decoded::Ignored => {}
         }
     }
-    taken
+    decoded
 }
 
-/// Logs a part of a published item that is not valid. Targets publish their entries again every
-/// second or so.
-fn log_ignored(state: &State, item: &RawItem, reason: &str) {
+/// Logs an invalid part of a published item. The lines are bounded, because targets publish their
+/// entries again every second or so.
+fn log_ignored(state: &ControlState, item: &RawItem, reason: &str) {
     let LogDecision::Write { left_out } = state.context.invalid_log_budget.try_acquire(state.now())
     else {
         return;
@@ -104,7 +104,7 @@
         "revision" => item.revision.value(), "left_out" => left_out);
 }
 
-fn offer(state: &State, table: RouteTable, revision: Revision) {
+fn offer(state: &ControlState, table: RouteTable, revision: Revision) {
     let (version, routes) = (table.version(), table.routes().count());
     if state.in_force.borrow_mut().offer(table) == OfferOutcome::Accepted {
         event!(state.context.log, ROUTES_ACCEPTED, "version" => version.number(),
@@ -112,8 +112,8 @@
     }
 }
 
-/// Publishes routes, evacuations and targets as they are known now.
-fn publish(state: &State, changed: &[RosterChange], evacuated: &[EvacuationEvent]) {
+/// Publishes the current routes, evacuations and targets.
+fn publish(state: &ControlState, changed: &[RosterChange], evacuated: &[EvacuationEvent]) {
     let context = &state.context;
     log_changes(state, changed);
     log_evacuations(state, evacuated);
@@ -135,7 +135,7 @@
     }
 }
 
-fn log_evacuations(state: &State, events: &[EvacuationEvent]) {
+fn log_evacuations(state: &ControlState, events: &[EvacuationEvent]) {
     let log = &state.context.log;
     for event in events {
         match event {
@@ -155,20 +155,21 @@
     }
 }
 
-/// Publishes which failure domains are evacuated. Requests that were assigned a target before check
-/// this again before they are sent.
-fn publish_evacuated(state: &State) {
+/// Publishes which failure domains are evacuated. Requests that already have a target check this
+/// again before they are sent.
+fn publish_evacuated(state: &ControlState) {
     let published = state.context.published.load();
     let evacuated = Arc::new(state.evacuations.borrow().in_force());
     let published = Published { evacuated, ..Published::clone(&published) };
     state.context.published.store(Arc::new(published));
 }
 
-/// A line for each change, or one for many: after a common start hundreds of entries each read
-/// hundreds of targets, and would write for longer than they read.
-fn log_changes(state: &State, changed: &[RosterChange]) {
+/// Logs one line for each change, or a single line for many changes. After a simultaneous start
+/// hundreds of entries each read hundreds of targets, and writing a line for each would take longer
+/// than reading them.
+fn log_changes(state: &ControlState, changed: &[RosterChange]) {
     let log = &state.context.log;
-    if changed.len() > CHANGE_LINES_MAX {
+    if changed.len() > LOGGED_CHANGES_MAX {
         event!(log, TARGETS_CHANGED, "changes" => changed.len(),
             "first" => format!("{:?}", changed[0]));
         return;
@@ -178,7 +179,7 @@
     }
 }
 
-fn publish_routes(state: &State) {
+fn publish_routes(state: &ControlState) {
     let published = state.context.published.load();
     let table = state.in_force.borrow().table().cloned();
     state.context.published.store(Arc::new(Published { table, ..Published::clone(&published) }));
@@ -187,50 +188,50 @@
     }
 }
 
-fn warmup_of(state: &State, service: &ServiceName) -> Option<Warmup> {
+fn warmup_of(state: &ControlState, service: &ServiceName) -> Option<Warmup> {
     let in_force = state.in_force.borrow();
     in_force.table()?.services().get(service)?.warmup
 }
 
-/// Publishes since when the platform counts as away.
-pub fn publish_away(state: &State) {
+/// Publishes since when the platform counts as unavailable.
+pub fn publish_platform_outage(state: &ControlState) {
     let published = state.context.published.load();
-    let platform_disconnected_at = state.away_since.get();
+    let platform_disconnected_at = state.platform_outage_started_at.get();
     let published = Published { platform_disconnected_at, ..Published::clone(&published) };
     state.context.published.store(Arc::new(published));
 }
 
-/// Tells the slots of all services which entries share them.
-pub fn publish_sharers(state: &State) {
+/// Sets which entries share the slots, for all services.
+pub fn publish_sharers(state: &ControlState) {
     for (_, slots) in state.context.services.all() {
         set_sharers(state, &slots);
     }
 }
 
-fn set_sharers(state: &State, slots: &ServiceSlots) {
+fn set_sharers(state: &ControlState, slots: &ServiceSlots) {
     let fleet = state.context.fleet.load();
     let names = fleet.advertised.iter().map(|entry| entry.vm.to_string()).collect();
     slots.set_sharers(names, fleet.share());
 }
 
-/// Publishes the targets, and gives each service's slots theirs if these have changed.
-fn publish_targets(state: &State) {
+/// Publishes the targets, and passes each service's targets to its slots if they have changed.
+fn publish_targets(state: &ControlState) {
     let context = &state.context;
     let roster = state.roster.borrow();
     let targets: HashMap<TargetId, TargetRecord> =
-        roster.targets().into_iter().map(|(id, entry)| (id.clone(), entry.clone())).collect();
+        roster.targets().into_iter().map(|(id, record)| (id.clone(), record.clone())).collect();
     let by_service = by_service(&targets, &state.evacuations.borrow());
     let count = targets.len();
     let published = context.published.load();
     let published = Published { targets: Arc::new(targets), ..Published::clone(&published) };
     context.published.store(Arc::new(published));
-    state.update_own(|own| OwnState { target_count: count, ..own });
-    let mut given = state.given.borrow_mut();
-    let gone: Vec<ServiceName> =
-        given.keys().filter(|service| !by_service.contains_key(*service)).cloned().collect();
-    let emptied = gone.into_iter().map(|service| (service, Vec::new()));
+    state.update_own_state(|own| OwnState { target_count: count, ..own });
+    let mut assigned = state.assigned_targets.borrow_mut();
+    let removed: Vec<ServiceName> =
+        assigned.keys().filter(|service| !by_service.contains_key(*service)).cloned().collect();
+    let emptied = removed.into_iter().map(|service| (service, Vec::new()));
     for (service, targets) in by_service.into_iter().chain(emptied) {
-        if given.get(&service) != Some(&targets) {
+        if assigned.get(&service) != Some(&targets) {
             let slots = context.slots(&service);
             set_sharers(state, &slots);
             slots.set_warmup(warmup_of(state, &service));
@@ -238,35 +239,35 @@
             for (target, limit) in lock(&context.rate_limits).all() {
                 slots.set_rate_limit(target, Some(limit));
             }
-            given.insert(service, targets);
+            assigned.insert(service, targets);
         }
     }
 }
 
-/// The targets by service. Every entry may send to each of them, and prefers those nearby: what others
-/// send there it hears from the targets themselves, before it sends.
+/// Groups the targets by service. Every entry may send to each target and prefers those nearby. How
+/// much other entries send to a target it learns from the target itself before it sends.
 fn by_service(
     targets: &HashMap<TargetId, TargetRecord>,
     evacuations: &Evacuations,
 ) -> BTreeMap<ServiceName, Vec<SlotTarget>> {
     let mut by_service: BTreeMap<ServiceName, Vec<SlotTarget>> = BTreeMap::new();
-    for (id, entry) in targets {
-        let evacuated = evacuations.contains(&entry.failure_domain);
+    for (id, record) in targets {
+        let evacuated = evacuations.contains(&record.failure_domain);
         by_service
-            .entry(entry.service.clone())
+            .entry(record.service.clone())
             .or_default()
-            .push(slot_target(id, entry, evacuated));
+            .push(slot_target(id, record, evacuated));
     }
     by_service.values_mut().for_each(|targets| targets.sort_by(|a, b| a.id.cmp(&b.id)));
     by_service
 }
 
-fn slot_target(id: &TargetId, entry: &TargetRecord, evacuated: bool) -> SlotTarget {
+fn slot_target(id: &TargetId, record: &TargetRecord, evacuated: bool) -> SlotTarget {
     SlotTarget {
         id: id.clone(),
-        failure_domain: entry.failure_domain.clone(),
-        slots: entry.slots,
-        serving: entry.availability == Availability::Serving && !evacuated,
-        cold_for: entry.cold_for,
+        failure_domain: record.failure_domain.clone(),
+        slots: record.slots,
+        serving: record.availability == Availability::Serving && !evacuated,
+        cold_for: record.cold_for,
     }
 }
--- /dev/null
+++ b/crates/gateway/src/control/pull.rs
@@ -0,0 +1,129 @@
+//! Pulls published items from other entries.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use shallotfork_events::{ITEMS_READ, TOLD_REFUSED, event};
+use shallotfork_peer::{Changes, PeerClient, PeerError};
+use shallotfork_types::{FailureDomain, Mono, Revision};
+
+use crate::control::pulled_items::apply_response;
+use crate::control::serve_pulls::LOG_MIN_SIZE;
+use crate::control::state::ControlState;
+use crate::transfer::TransferKind;
+
+/// A pull that takes at least this long is logged, whatever its size.
+const LOG_MIN_DURATION: Duration = Duration::from_millis(300);
+/// Interval of the checks whether more of an answer has arrived.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Alternative sources that are remembered during a pull.
+const SOURCES_MAX: usize = 8;
+
+/// An entry that knows a higher revision than this one.
+pub struct PullSource {
+    /// Connection to the entry.
+    pub client: Rc<PeerClient>,
+    /// Failure domain of the entry.
+    pub failure_domain: FailureDomain,
+}
+
+/// Pulls from another entry, and from the alternative sources in turn while the chosen one is busy.
+pub async fn pull(state: &ControlState, source: PullSource) {
+    if !state.pull_scheduler.borrow_mut().try_begin(state.now()) {
+        let mut sources = state.pull_sources.borrow_mut();
+        if sources.len() < SOURCES_MAX {
+            sources.push(source);
+        }
+        return;
+    }
+    state.pull_sources.borrow_mut().clear();
+    let mut next = Some(source);
+    while let Some(source) = next {
+        let is_busy = pull_from(state, &source).await == Err(PeerError::Busy);
+        next = if is_busy { state.pull_sources.borrow_mut().pop() } else { None };
+    }
+    state.pull_sources.borrow_mut().clear();
+    state.pull_scheduler.borrow_mut().end();
+}
+
+/// What one pull brought, for the log.
+struct PullStats {
+    after: Revision,
+    started_at: Mono,
+    revision: Revision,
+    items: usize,
+    bytes: u64,
+    whole: bool,
+}
+
+/// Makes one pull. That the other entry is busy is not logged here, because that entry logs it.
+async fn pull_from(state: &ControlState, source: &PullSource) -> Result<(), PeerError> {
+    let started_at = state.now();
+    let after = state.archive.borrow().position();
+    source.client.take_bytes();
+    let answer = request_changes(state, &source.client, after).await;
+    let bytes = source.client.take_bytes();
+    TransferKind::Pulls.record_bytes(&source.failure_domain, bytes);
+    let changes = answer.inspect_err(|error| {
+        if *error != PeerError::Busy {
+            log_failed_pull(state, source, after, started_at, &error.to_string());
+        }
+    })?;
+    let Changes { revision, whole, .. } = changes;
+    match apply_response(state, changes) {
+        Ok(items) => {
+            log_pull(state, source, &PullStats { after, started_at, revision, items, bytes, whole })
+        }
+        Err(error) => log_failed_pull(state, source, after, started_at, &error.to_string()),
+    }
+    Ok(())
+}
+
+/// Requests the changes after a revision, and records progress for as long as the answer keeps
+/// arriving.
+async fn request_changes(
+    state: &ControlState,
+    client: &PeerClient,
+    after: Revision,
+) -> Result<Changes, PeerError> {
+    let mut answer = std::pin::pin!(client.changes(after));
+    let mut previous_bytes = client.received_bytes();
+    loop {
+        if let Ok(answer) = tokio::time::timeout(PROGRESS_INTERVAL, answer.as_mut()).await {
+            return answer;
+        }
+        let received_bytes = client.received_bytes();
+        if received_bytes > previous_bytes {
+            state.pull_scheduler.borrow_mut().record_progress(state.now());
+        }
+        previous_bytes = received_bytes;
+    }
+}
+
+fn log_failed_pull(
+    state: &ControlState,
+    source: &PullSource,
+    after: Revision,
+    started_at: Mono,
+    reason: &str,
+) {
+    event!(state.context.log, TOLD_REFUSED, "peer" => source.client.peer().vm.as_str(),
+        "reason" => reason, "after" => after.value(),
+        "took_ms" => millis(state.now().since(started_at)));
+}
+
+fn log_pull(state: &ControlState, source: &PullSource, pull: &PullStats) {
+    let duration = state.now().since(pull.started_at);
+    if pull.bytes < LOG_MIN_SIZE.value() && duration < LOG_MIN_DURATION {
+        return;
+    }
+    event!(state.context.log, ITEMS_READ, "peer" => source.client.peer().vm.as_str(),
+        "after" => pull.after.value(), "revision" => pull.revision.value(),
+        "items" => pull.items, "bytes" => pull.bytes, "took_ms" => millis(duration),
+        "whole" => pull.whole);
+}
+
+fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
+}
--- /dev/null
+++ b/crates/gateway/src/control/pulled_items.rs
@@ -0,0 +1,67 @@
+//! Applies published items that were pulled from other entries.
+
+use shallotfork_peer::{Bundle, Changes, Heartbeat, ValueChange, decode_values};
+use shallotfork_types::Revision;
+
+use crate::control::publish::{apply_changes, apply_snapshot};
+use crate::control::reader::mark_synced;
+use crate::control::state::ControlState;
+use shallotfork_feed::{FeedChanges, PullError, PullResponse, RawItem, unpack};
+
+/// Whether to pull from the sender of a heartbeat what it knows beyond this entry.
+///
+/// An entry that can't read the platform itself may still know more, from entries that can. A
+/// reader of the platform learns of most changes from there first; if it stays behind the others
+/// for longer than the propagation delay, its read hangs.
+pub fn should_pull_from(state: &ControlState, heartbeat: &Heartbeat) -> bool {
+    let (revision, own_revision) = (heartbeat.synced_revision, state.archive.borrow().position());
+    let view = state.view();
+    let settings = &state.context.settings;
+    if revision <= own_revision {
+        return false;
+    }
+    let is_reader = view.readers.contains(&settings.vm);
+    let is_local = heartbeat.failure_domain == settings.failure_domain && !is_reader;
+    if is_local || own_revision == Revision::NONE || view.contacts.monitors_readers && !is_reader {
+        return true;
+    }
+    state.pull_scheduler.borrow_mut().should_pull_from_other_domain(
+        revision,
+        own_revision,
+        view.propagation_delay(),
+        state.now(),
+    )
+}
+
+/// Applies the answer to a pull and returns the number of its items.
+///
+/// # Errors
+/// Returns an error if the answer can't be decoded or does not fit the archive.
+pub fn apply_response(state: &ControlState, changes: Changes) -> Result<usize, PullError> {
+    let Changes { revision, mut values, whole, bundle } = changes;
+    if let Some(Bundle { content, unpacked_size }) = bundle {
+        let content = unpack(&content, unpacked_size)?;
+        let bundled = decode_values(&content).map_err(|_| PullError::BadPacked(unpacked_size))?;
+        values.extend(bundled);
+    }
+    let items = values.into_iter().map(decode_item).collect::<Result<Vec<_>, _>>()?;
+    let count = items.len();
+    let response = PullResponse { changes: FeedChanges { items, revision }, is_snapshot: whole };
+    state.archive.borrow().check(&response)?;
+    if whole {
+        apply_snapshot(state, &response.changes.items, revision);
+    } else {
+        apply_changes(state, &response.changes);
+    }
+    mark_synced(state);
+    Ok(count)
+}
+
+fn decode_item(value: ValueChange) -> Result<RawItem, PullError> {
+    let ValueChange { name, revision, content, unpacked_size, removed } = value;
+    let content = match unpacked_size {
+        Some(size) => unpack(&content, size)?,
+        None => content,
+    };
+    Ok(RawItem { key: name, revision, content: (!removed).then_some(content) })
+}
--- a/crates/gateway/src/control/reader.rs
+++ b/crates/gateway/src/control/reader.rs
@@ -1,4 +1,4 @@
-//! Reads what the platform publishes, and goes on reading.
+//! Reads published items from the platform, and watches for changes.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,70 +8,71 @@
 use shallotfork_types::Revision;
 use tokio::time::timeout;
 
-use crate::control::naming::name_entries;
-use crate::control::publish::{publish_away, take_all, take_changes};
-use crate::control::state::State;
+use crate::control::advertise::update_advertised_entries;
+use crate::control::publish::{apply_changes, apply_snapshot, publish_platform_outage};
+use crate::control::state::ControlState;
 use shallotfork_feed::{FeedError, Freshness, RawItem};
 use shallotfork_fleet::OwnState;
 
-/// How long a watch waits for a change. A platform that goes silent shows only at its end; when that
-/// happens to all readers at once, others have to take their place soon enough for a change to be in
-/// force everywhere within the users' two seconds.
+/// How long a watch waits for a change. A platform that stops answering is noticed only when the
+/// watch ends. If that happens to all readers at once, other entries have to replace them soon
+/// enough for a change to be in force everywhere within the users' limit of 2 s.
 const WATCH_WAIT: Duration = Duration::from_millis(700);
-/// A watch that brings nothing for this much longer than it waits means that the connection is dead,
-/// and not only that the platform is slow.
+/// Silence after the wait of a watch which means that the connection is dead, and not only that the
+/// platform is slow.
 const WATCH_SILENCE_MAX: Duration = Duration::from_millis(400);
-/// Longest silence of a page.
+/// Longest silence while a page is read.
 const PAGE_SILENCE_MAX: Duration = Duration::from_millis(1000);
-/// Longest time for one answer as a whole, for platforms that send it a byte at a time.
-const CALL_MAX: Duration = Duration::from_secs(10);
-/// Pause after a change, so that changes that come together cost one call.
-const GATHER: Duration = Duration::from_millis(150);
-/// First pause after a failed call, doubled with each further one.
-const BACKOFF_FIRST: Duration = Duration::from_millis(100);
-/// Pause of an entry that could not read, and whose place among the readers another one has taken,
-/// before it tries whether it can read again.
-const BLIND_PAUSE: Duration = Duration::from_millis(2000);
-/// Time in which other entries are found before this one may take itself to be the only one, and
-/// read the platform although others do.
-const START_WAIT: Duration = Duration::from_millis(500);
-/// Longest pause after a failed call; at the return of the platform all entries are back within
+/// Timeout of one call as a whole, for platforms that send the answer a byte at a time.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delay after a change, so that changes published at about the same time cost one call.
+const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(150);
+/// Delay after a failed call, doubled with each further failure.
+const BACKOFF_INITIAL: Duration = Duration::from_millis(100);
+/// Delay before an entry that could not read the platform, and was replaced as a reader, tries to
+/// read again.
+const DISCONNECTED_RETRY_DELAY: Duration = Duration::from_millis(2000);
+/// Time to discover other entries after the start, before this entry may conclude that it is the
+/// only one and read the platform although others do.
+const DISCOVERY_WAIT: Duration = Duration::from_millis(500);
+/// Longest delay after a failed call. When the platform returns, all entries are reconnected within
 /// this time.
 const BACKOFF_MAX: Duration = Duration::from_millis(800);
 
-/// Reads for as long as the process runs, whenever this entry is one of the readers or hears none.
-pub async fn read_on(state: Rc<State>) {
-    let mut backoff = BACKOFF_FIRST;
+/// Reads for as long as the process runs, whenever this entry is one of the readers or receives
+/// nothing from any of them.
+pub async fn run_reader(state: Rc<ControlState>) {
+    let mut backoff = BACKOFF_INITIAL;
     let mut history_lost = false;
-    first_fill(&state).await;
-    tokio::time::sleep(START_WAIT).await;
+    initial_read(&state).await;
+    tokio::time::sleep(DISCOVERY_WAIT).await;
     loop {
         let is_reader = state.fleet.borrow_mut().should_read(state.now());
-        state.update_own(|own| OwnState { is_reader, ..own });
+        state.update_own_state(|own| OwnState { is_reader, ..own });
         if !is_reader && !state.fleet.borrow().platform.is_disconnected() {
-            state.role_look.notified().await;
+            state.recheck_reader_role.notified().await;
             continue;
         }
         let position = state.archive.borrow().position();
-        let step = if history_lost || position == Revision::NONE {
+        let result = if history_lost || position == Revision::NONE {
             full_read(&state, Freshness::Latest).await
         } else {
             watch(&state, position).await
         };
-        match step {
+        match result {
             Ok(()) => {
-                platform_answers(&state);
-                backoff = BACKOFF_FIRST;
+                record_platform_answer(&state);
+                backoff = BACKOFF_INITIAL;
                 history_lost = false;
             }
             Err(FeedError::HistoryLost) => {
-                platform_answers(&state);
+                record_platform_answer(&state);
                 history_lost = true;
             }
             Err(error) => {
-                platform_fails(&state, &error);
+                record_platform_failure(&state, &error);
                 let jitter = rand::rng().random_range(0.5..1.0);
-                let pause = if is_reader { backoff } else { BLIND_PAUSE };
+                let pause = if is_reader { backoff } else { DISCONNECTED_RETRY_DELAY };
                 tokio::time::sleep(pause.mul_f64(jitter)).await;
                 backoff = (backoff * 2).min(BACKOFF_MAX);
             }
@@ -79,35 +80,37 @@
     }
 }
 
-/// Reads everything once, at a tenth of the price, before this entry knows whether it is a reader.
+/// Reads everything once, before this entry knows whether it is a reader. A read that may be stale
+/// costs the platform a tenth of a current one.
 ///
-/// What it brings may be seconds old; the readers, or the platform's watch, tell what has changed
-/// since. After a loss of all entries at once, each can serve as soon as it has started.
-async fn first_fill(state: &State) {
+/// The result may be seconds old; the readers, or the platform's watch, report what has changed
+/// since. After a loss of all entries at once, each entry can serve as soon as it has started.
+async fn initial_read(state: &ControlState) {
     if let Err(error) = full_read(state, Freshness::MayBeStale).await {
-        platform_fails(state, &error);
+        record_platform_failure(state, &error);
     }
 }
 
-/// Reads everything. Pages are no snapshot, so that watching goes on from the oldest one's revision:
-/// what changed meanwhile is told again. Of stale pages any may be the oldest.
-async fn full_read(state: &State, freshness: Freshness) -> Result<(), FeedError> {
+/// Reads everything. The pages are not a consistent snapshot, so watching continues from the oldest
+/// page's revision, which reports changes made during the read again. Of stale pages any may be the
+/// oldest.
+async fn full_read(state: &ControlState, freshness: Freshness) -> Result<(), FeedError> {
     let mut items: Vec<RawItem> = Vec::new();
     let mut after: Option<String> = None;
     let mut oldest: Option<Revision> = None;
     loop {
         let page = state.feed.page(after.as_deref(), freshness, PAGE_SILENCE_MAX);
-        let page = in_time(CALL_MAX, page).await?;
-        let known = oldest.map_or(page.revision, |revision| revision.min(page.revision));
-        oldest = Some(known);
+        let page = with_timeout(CALL_TIMEOUT, page).await?;
+        let revision = oldest.map_or(page.revision, |oldest| oldest.min(page.revision));
+        oldest = Some(revision);
         items.extend(page.items);
         let Some(next) = page.next_after else {
-            platform_answers(state);
-            // What others have told meanwhile is complete, and these items would bring back what
-            // has been removed since.
-            if known >= state.archive.borrow().position() {
-                take_all(state, &items, known);
-                note_synced(state);
+            record_platform_answer(state);
+            // Items pulled from other entries in the meantime are complete, and these items would
+            // restore what has been removed since.
+            if revision >= state.archive.borrow().position() {
+                apply_snapshot(state, &items, revision);
+                mark_synced(state);
             }
             return Ok(());
         };
@@ -115,66 +118,67 @@
     }
 }
 
-async fn watch(state: &State, after: Revision) -> Result<(), FeedError> {
+async fn watch(state: &ControlState, after: Revision) -> Result<(), FeedError> {
     let changes = state.feed.changes(after, WATCH_WAIT, WATCH_SILENCE_MAX);
-    let changes = in_time(CALL_MAX, changes).await?;
-    let changed = !changes.items.is_empty();
-    platform_answers(state);
-    take_changes(state, &changes);
-    if changed {
-        note_synced(state);
-        tokio::time::sleep(GATHER).await;
+    let changes = with_timeout(CALL_TIMEOUT, changes).await?;
+    let has_changes = !changes.items.is_empty();
+    record_platform_answer(state);
+    apply_changes(state, &changes);
+    if has_changes {
+        mark_synced(state);
+        tokio::time::sleep(CHANGE_BATCH_DELAY).await;
     }
     Ok(())
 }
 
-/// A process that knows routes can serve.
-pub fn note_synced(state: &State) {
-    let synced = state.fleet.borrow().own_state().is_synced;
-    if !synced && state.in_force.borrow().table().is_some() {
-        state.update_own(|own| OwnState { is_synced: true, ..own });
+/// Marks this process as synced, and so able to serve, once it knows routes.
+pub fn mark_synced(state: &ControlState) {
+    let is_synced = state.fleet.borrow().own_state().is_synced;
+    if !is_synced && state.in_force.borrow().table().is_some() {
+        state.update_own_state(|own| OwnState { is_synced: true, ..own });
         state.ready.send_replace(true);
-        name_entries(state);
+        update_advertised_entries(state);
     }
 }
 
-async fn in_time<T>(
+async fn with_timeout<T>(
     limit: Duration,
     call: impl Future<Output = Result<T, FeedError>>,
 ) -> Result<T, FeedError> {
-    let late = || FeedError::Unreachable("no answer in time".to_owned());
-    timeout(limit, call).await.unwrap_or_else(|_| Err(late()))
+    let timed_out = || FeedError::Unreachable("no answer in time".to_owned());
+    timeout(limit, call).await.unwrap_or_else(|_| Err(timed_out()))
 }
 
-fn platform_fails(state: &State, error: &FeedError) {
-    let first = state.fleet.borrow_mut().platform.record_failure(state.context.clock.now());
-    if first {
+fn record_platform_failure(state: &ControlState, error: &FeedError) {
+    let is_first = state.fleet.borrow_mut().platform.record_failure(state.context.clock.now());
+    if is_first {
         event!(state.context.log, PLATFORM_LOST, "reason" => error.to_string());
-        note_sight(state);
-        name_entries(state);
+        update_platform_state(state);
+        update_advertised_entries(state);
     }
 }
 
-fn platform_answers(state: &State) {
-    let lost_at = state.fleet.borrow_mut().platform.record_answer();
-    note_sight(state);
-    if let Some(lost_at) = lost_at {
-        let away = state.context.clock.now().since(lost_at);
-        let away_ms = u64::try_from(away.as_millis()).unwrap_or(u64::MAX);
-        event!(state.context.log, PLATFORM_BACK, "away_ms" => away_ms);
-        name_entries(state);
+fn record_platform_answer(state: &ControlState) {
+    let outage_started_at = state.fleet.borrow_mut().platform.record_answer();
+    update_platform_state(state);
+    if let Some(outage_started_at) = outage_started_at {
+        let outage = state.context.clock.now().since(outage_started_at);
+        let outage_ms = u64::try_from(outage.as_millis()).unwrap_or(u64::MAX);
+        event!(state.context.log, PLATFORM_BACK, "away_ms" => outage_ms);
+        update_advertised_entries(state);
     }
 }
 
-/// Takes into force whether the platform counts as away now.
-pub fn note_sight(state: &State) {
+/// Updates the roster and the published state if the platform has become unavailable, or available
+/// again.
+pub fn update_platform_state(state: &ControlState) {
     let now = state.context.clock.now();
-    let away_since = state.fleet.borrow().platform.outage_started_at(now);
-    let before = state.away_since.replace(away_since);
-    match (before, away_since) {
+    let outage_started_at = state.fleet.borrow().platform.outage_started_at(now);
+    let previous = state.platform_outage_started_at.replace(outage_started_at);
+    match (previous, outage_started_at) {
         (None, Some(_)) => state.roster.borrow_mut().platform_disconnected(),
         (Some(_), None) => state.roster.borrow_mut().platform_reconnected(now),
         _ => return,
     }
-    publish_away(state);
+    publish_platform_outage(state);
 }
--- /dev/null
+++ b/crates/gateway/src/control/serve_pulls.rs
@@ -0,0 +1,135 @@
+//! Serves published items to other entries.
+
+use std::cell::Cell;
+
+use metrics::{counter, gauge};
+use shallotfork_events::{ITEMS_TOLD, event};
+use shallotfork_feed::{PACK_MIN_BYTES, PullResponse, RawItem, pack};
+use shallotfork_peer::{Bundle, Changes, ChangesAsked, ValueChange, encode_values};
+use shallotfork_types::{Bytes, Revision};
+
+use crate::control::state::ControlState;
+
+/// Size from which pulls from other entries, and pulls served to them, are logged.
+pub const LOG_MIN_SIZE: Bytes = Bytes::from_kib(64);
+
+/// Pulls served to other entries since the last report.
+#[derive(Debug, Default)]
+pub struct PullCounts {
+    pulls: Cell<u64>,
+    bytes: Cell<u64>,
+    deferred: Cell<u64>,
+}
+
+impl PullCounts {
+    fn record(&self, bytes: u64) {
+        self.pulls.set(self.pulls.get() + 1);
+        self.bytes.set(self.bytes.get() + bytes);
+        counter!("shallotfork_told_bytes").increment(bytes);
+    }
+}
+
+/// Logs the pulls served since the last call if they were large or some were deferred, and sets the
+/// metric of the revision that this entry knows.
+pub fn report_served_pulls(state: &ControlState) {
+    let revision = state.archive.borrow().position();
+    gauge!("shallotfork_revision").set(revision.value() as f64);
+    let PullCounts { pulls, bytes, deferred } = &state.served_pulls;
+    let (pulls, bytes, deferred) = (pulls.take(), bytes.take(), deferred.take());
+    if bytes >= LOG_MIN_SIZE.value() || deferred > 0 {
+        event!(state.context.log, ITEMS_TOLD, "readings" => pulls, "bytes" => bytes,
+            "put_off" => deferred);
+    }
+}
+
+/// Returns the changes after the requested revision; `None` while the uplink is full.
+pub fn answer_pull(state: &ControlState, request: ChangesAsked) -> Option<Changes> {
+    let now = state.now();
+    if state.uplink.borrow().is_full(now) {
+        state.served_pulls.deferred.set(state.served_pulls.deferred.get() + 1);
+        return None;
+    }
+    let response = state.archive.borrow().changes_after(request.after);
+    let changes = if request.takes_packed {
+        packed_changes(state, &response)
+    } else {
+        unpacked_changes(&response)
+    };
+    let size = size(&changes);
+    state.served_pulls.record(size.value());
+    state.uplink.borrow_mut().record_sent(size, now);
+    Some(changes)
+}
+
+fn size(changes: &Changes) -> Bytes {
+    let values = changes.values.iter().map(|value| value.name.len() + value.content.len());
+    let bundle = changes.bundle.as_ref().map_or(0, |bundle| bundle.content.len());
+    Bytes::new((values.sum::<usize>() + bundle) as u64)
+}
+
+fn unpacked_changes(response: &PullResponse) -> Changes {
+    let values = response.changes.items.iter().map(|item| value_change(item, None)).collect();
+    Changes {
+        revision: response.changes.revision,
+        values,
+        whole: response.is_snapshot,
+        bundle: None,
+    }
+}
+
+/// Packs large items one by one, so that each packed item serves all pulls until it changes, and
+/// small items together.
+fn packed_changes(state: &ControlState, response: &PullResponse) -> Changes {
+    let PullResponse { changes, is_snapshot } = response;
+    let (large, small): (Vec<&RawItem>, Vec<&RawItem>) =
+        changes.items.iter().partition(|item| is_large(item));
+    let mut packer = state.packer.borrow_mut();
+    let mut values: Vec<ValueChange> =
+        large.into_iter().map(|item| value_change(item, packer.pack(item))).collect();
+    let small: Vec<ValueChange> = small.into_iter().map(|item| value_change(item, None)).collect();
+    let bundle = bundle_values(state, changes.revision, *is_snapshot, &small);
+    if bundle.is_none() {
+        values.extend(small);
+    }
+    Changes { revision: changes.revision, values, whole: *is_snapshot, bundle }
+}
+
+fn is_large(item: &RawItem) -> bool {
+    item.content.as_ref().is_some_and(|content| content.len() >= PACK_MIN_BYTES)
+}
+
+/// Packs small values together, unless they are few. Entries that start at the same time all pull a
+/// snapshot at the same revision, and share one bundle.
+fn bundle_values(
+    state: &ControlState,
+    revision: Revision,
+    is_snapshot: bool,
+    values: &[ValueChange],
+) -> Option<Bundle> {
+    let mut cached = state.snapshot_bundle.borrow_mut();
+    if let Some((cached_revision, bundle)) = cached.as_ref().filter(|_| is_snapshot)
+        && *cached_revision == revision
+    {
+        return Some(bundle.clone());
+    }
+    let content = encode_values(values);
+    let unpacked_size = Bytes::new(content.len() as u64);
+    let bundle = Bundle { content: pack(&content)?, unpacked_size };
+    if is_snapshot {
+        *cached = Some((revision, bundle.clone()));
+    }
+    Some(bundle)
+}
+
+/// Converts an item for another entry, with its packed content if there is any.
+fn value_change(item: &RawItem, packed: Option<&[u8]>) -> ValueChange {
+    let RawItem { key, revision, content } = item;
+    let unpacked = content.as_deref().unwrap_or_default();
+    ValueChange {
+        name: key.clone(),
+        revision: *revision,
+        content: packed.unwrap_or(unpacked).to_vec(),
+        unpacked_size: packed.map(|_| Bytes::new(unpacked.len() as u64)),
+        removed: content.is_none(),
+    }
+}
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -18,79 +18,79 @@
 
 use crate::context::Context;
 use crate::control::peers::Peers;
-use crate::control::reading::Source;
-use crate::control::telling::TellCount;
+use crate::control::pull::PullSource;
+use crate::control::serve_pulls::PullCounts;
 
-/// All state that only the control thread touches.
+/// State that only the control thread accesses.
 ///
-/// No borrow is held across an await, so that tasks of the thread never meet a borrowed cell.
-pub struct State {
-    /// Shared with the traffic threads.
+/// No borrow is held across an await, so tasks of the thread never find a cell already borrowed.
+pub struct ControlState {
+    /// State shared with the traffic threads.
     pub context: Arc<Context>,
-    /// This entry's part in the fleet.
+    /// Membership of this entry in the fleet.
     pub fleet: RefCell<FleetMember>,
     /// Connections to other entries.
     pub peers: Peers,
-    /// The routes in force.
+    /// Routes in force.
     pub in_force: RefCell<TableInForce>,
-    /// The targets.
+    /// Published targets.
     pub roster: RefCell<Roster>,
-    /// The evacuations of failure domains.
+    /// Evacuations of failure domains.
     pub evacuations: RefCell<Evacuations>,
-    /// The platform.
+    /// Interface to the platform.
     pub feed: Arc<dyn Feed>,
-    /// Published items as last seen.
+    /// Published items as last received.
     pub archive: RefCell<Archive>,
-    /// Published items as they are handed on.
+    /// Packed items for other entries.
     pub packer: RefCell<Packer>,
-    /// All small items as they are handed on together, and at which revision.
-    pub whole_bundle: RefCell<Option<(Revision, Bundle)>>,
-    /// When other entries are asked for published items.
-    pub catch_up: RefCell<PullScheduler>,
-    /// Other entries that may be read from when the one that is read from is busy.
-    pub sources: RefCell<Vec<Source>>,
-    /// What other entries were told.
-    pub told: TellCount,
-    /// What of the link that may take.
+    /// All small items packed together, with their revision.
+    pub snapshot_bundle: RefCell<Option<(Revision, Bundle)>>,
+    /// Decides when to pull from other entries.
+    pub pull_scheduler: RefCell<PullScheduler>,
+    /// Alternative entries to pull from while the chosen one is busy.
+    pub pull_sources: RefCell<Vec<PullSource>>,
+    /// Counts of pulls served to other entries.
+    pub served_pulls: PullCounts,
+    /// Bounds the part of the link that served pulls may use.
     pub uplink: RefCell<Uplink>,
-    /// Since when the platform has counted as away; `None` while it does not.
-    pub away_since: Cell<Option<Mono>>,
-    /// The beliefs that callers are named entries by.
-    pub named_by: RefCell<Option<Rc<FleetView>>>,
-    /// Signalled when this entry may have to begin or end reading the platform.
-    pub role_look: Notify,
-    /// The targets that each service's slots were given last.
-    pub given: RefCell<BTreeMap<ServiceName, Vec<SlotTarget>>>,
-    /// The version of the roster that was published last.
+    /// Since when the platform counts as unavailable; `None` while it is available.
+    pub platform_outage_started_at: Cell<Option<Mono>>,
+    /// View of the fleet that was published last.
+    pub last_view: RefCell<Option<Rc<FleetView>>>,
+    /// Signalled when this entry may have to start or stop reading the platform.
+    pub recheck_reader_role: Notify,
+    /// Targets that were last passed to the slots of each service.
+    pub assigned_targets: RefCell<BTreeMap<ServiceName, Vec<SlotTarget>>>,
+    /// Version of the roster that was published last.
     pub published_version: Cell<u64>,
-    /// Where other entries may be found.
+    /// Addresses at which other entries may be found.
     pub seeds: RefCell<Vec<Endpoint>>,
     /// Becomes true once routes and targets have been read; the traffic side waits for it.
     pub ready: watch::Sender<bool>,
-    /// The most heads that were live at one time.
-    pub known: Cell<usize>,
+    /// Largest number of core entries that were live at one time.
+    pub known_entries: Cell<usize>,
 }
 
-impl State {
-    /// The time now.
+impl ControlState {
+    /// Returns the current time.
     pub fn now(&self) -> Mono {
         self.context.clock.now()
     }
 
-    /// What is believed of the fleet now.
-    pub fn beliefs(&self) -> Rc<FleetView> {
+    /// Returns the current view of the fleet.
+    pub fn view(&self) -> Rc<FleetView> {
         self.fleet.borrow_mut().view(self.now())
     }
 
-    /// Changes what this process knows of itself.
-    pub fn update_own(&self, change: impl FnOnce(OwnState) -> OwnState) {
+    /// Updates this process's own state.
+    pub fn update_own_state(&self, change: impl FnOnce(OwnState) -> OwnState) {
         let mut fleet = self.fleet.borrow_mut();
         let own = fleet.own_state();
         fleet.set_own_state(change(own));
     }
 }
 
-/// What this process says of itself.
+/// Returns the announcement of this process.
 pub fn own_announcement(context: &Context) -> Announcement {
     let settings = &context.settings;
     Announcement {
--- a/crates/gateway/src/control/thread.rs
+++ b/crates/gateway/src/control/thread.rs
@@ -19,62 +19,63 @@
 use tokio::task::LocalSet;
 
 use crate::context::{Context, lock};
-use crate::control::beats::{beats, tell_leaving};
+use crate::control::advertise::mark_settled;
 use crate::control::handler::Handler;
-use crate::control::naming::note_settled;
+use crate::control::heartbeats::{announce_leaving, run_heartbeats};
 use crate::control::peers::Peers;
 use crate::control::publish::expire_targets;
-use crate::control::reader::read_on;
-use crate::control::state::{State, own_announcement};
-use crate::control::telling::{TellCount, report_told};
+use crate::control::reader::run_reader;
+use crate::control::serve_pulls::{PullCounts, report_served_pulls};
+use crate::control::state::{ControlState, own_announcement};
 use crate::traffic::apply_rate_limit;
 use shallotfork_evacuation::Evacuations;
 use shallotfork_feed::{Archive, Feed, Packer, PullScheduler, Uplink};
 use shallotfork_fleet::FleetMember;
 
-/// Time to open a connection to an entry or to have an answer; shorter than the silence after which
-/// it is suspected.
+/// Timeout for opening a connection to an entry, and for an answer from it. Shorter than the
+/// silence after which an entry is suspected.
 const PEER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Connections of other entries that are served at once. After a common start hundreds look for the
-/// fleet at the same few seeds; each connection takes some tens of kilobytes.
-const CONNECTIONS_MAX: usize = 1024;
-/// How often lapsed targets and idle connections are looked after.
-const TIDY: Duration = Duration::from_millis(250);
-/// How often what other entries were told is reported.
-const REPORT: Duration = Duration::from_secs(1);
+/// Connections from other entries that are served at once. After a simultaneous start hundreds of
+/// entries contact the same few seeds; each connection takes some tens of kilobytes.
+const PEER_CONNECTIONS_MAX: usize = 1024;
+/// Interval at which expired targets and idle connections are removed.
+const CLEANUP_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which the pulls served to other entries are reported.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+
 /// What the control thread takes over from start-up.
 pub struct ControlParts {
-    /// Shared with the traffic threads.
+    /// State shared with the traffic threads.
     pub context: Arc<Context>,
-    /// Requests of the traffic side.
+    /// Commands from the traffic side.
     pub commands: mpsc::UnboundedReceiver<Command>,
     /// Bound port for other entries.
     pub peers: StdListener,
-    /// The key that entries prove to each other.
+    /// Key that entries prove to each other.
     pub key: PeerKey,
-    /// The platform.
+    /// Interface to the platform.
     pub feed: Arc<dyn Feed>,
-    /// Becomes true when routes are in force.
+    /// Becomes true once routes are in force.
     pub ready: watch::Sender<bool>,
 }
 
-/// A request to the control thread.
+/// A command to the control thread.
 #[derive(Debug)]
 pub enum Command {
-    /// Tell everybody that this process leaves; answered once all were told.
+    /// Announces that this process is leaving; answered once the other entries have been informed.
     Leave(oneshot::Sender<()>),
-    /// Other entries may be found at these addresses from now on.
+    /// Replaces the addresses at which other entries may be found.
     SetSeeds(Vec<Endpoint>),
 }
 
-/// Talks to the control thread.
+/// Sends commands to the control thread.
 #[derive(Debug, Clone)]
 pub struct ControlHandle {
     commands: mpsc::UnboundedSender<Command>,
 }
 
 impl ControlHandle {
-    /// A handle, and the receiver for the thread.
+    /// Creates a handle, and the receiver for the thread.
     pub fn new() -> (Self, mpsc::UnboundedReceiver<Command>) {
         let (commands, receiver) = mpsc::unbounded_channel();
         (Self { commands }, receiver)
@@ -82,23 +83,24 @@
 
     /// Replaces the addresses at which other entries may be found.
     pub fn set_seeds(&self, seeds: Vec<Endpoint>) {
-        // A thread that has ended looks for nobody.
+        // A thread that has ended does not need the seeds any more.
         let _ended = self.commands.send(Command::SetSeeds(seeds));
     }
 
-    /// Tells everybody that this process leaves.
+    /// Announces that this process is leaving, and waits until the other entries have been
+    /// informed.
     pub async fn leave(&self) {
-        let (told, done) = oneshot::channel();
-        // A thread that has ended has nobody left to tell.
-        let _ended = self.commands.send(Command::Leave(told));
-        let _ended = done.await;
+        let (done, finished) = oneshot::channel();
+        // A thread that has ended has no entries left to inform.
+        let _ended = self.commands.send(Command::Leave(done));
+        let _ended = finished.await;
     }
 }
 
-/// Starts the thread.
+/// Starts the control thread.
 ///
 /// # Errors
-/// When the thread or its runtime can't be started.
+/// Returns an error if the thread or its runtime can't be started.
 pub fn start(parts: ControlParts) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     thread::Builder::new()
@@ -112,7 +114,7 @@
     let ControlParts { context, mut commands, peers, key, feed, ready } = parts;
     let listener = match TcpListener::from_std(peers) {
         Ok(listener) => listener,
-        // The traffic side waits for `ready`, sees its end, and reports the failure.
+        // The traffic side waits for `ready`, and reports the failure when that is dropped.
         Err(_) => return,
     };
     let own = PeerId::new(context.settings.vm.clone(), context.incarnation);
@@ -125,28 +127,28 @@
         Rc::new(Handler { state: Rc::clone(&state) }),
     );
     tokio::task::spawn_local(server.serve());
-    tokio::task::spawn_local(read_on(Rc::clone(&state)));
+    tokio::task::spawn_local(run_reader(Rc::clone(&state)));
     let timer = TimerService::new(state.context.clock);
-    tokio::task::spawn_local(beats(Rc::clone(&state), timer.clone()));
-    let mut tidy = timer.subscribe(Schedule::new(TIDY));
-    let mut report = timer.subscribe(Schedule::new(REPORT));
+    tokio::task::spawn_local(run_heartbeats(Rc::clone(&state), timer.clone()));
+    let mut cleanup = timer.subscribe(Schedule::new(CLEANUP_INTERVAL));
+    let mut report = timer.subscribe(Schedule::new(REPORT_INTERVAL));
     loop {
         tokio::select! {
             command = commands.recv() => match command {
-                Some(Command::Leave(told)) => {
+                Some(Command::Leave(done)) => {
                     let state = Rc::clone(&state);
                     tokio::task::spawn_local(async move {
-                        tell_leaving(&state).await;
-                        let _gone = told.send(());
+                        announce_leaving(&state).await;
+                        let _gone = done.send(());
                     });
                 }
                 Some(Command::SetSeeds(seeds)) => *state.seeds.borrow_mut() = seeds,
                 None => return,
             },
-            _ = report.tick() => report_told(&state),
-            _ = tidy.tick() => {
+            _ = report.tick() => report_served_pulls(&state),
+            _ = cleanup.tick() => {
                 expire_targets(&state);
-                note_settled(&state);
+                mark_settled(&state);
                 state.context.links.tidy();
                 lock(&state.context.quarantine).expire(state.now());
                 expire_rate_limits(&state.context);
@@ -168,8 +170,8 @@
     key: &PeerKey,
     own: &PeerId,
     ready: watch::Sender<bool>,
-) -> State {
-    State {
+) -> ControlState {
+    ControlState {
         fleet: RefCell::new(FleetMember::new(own_announcement(&context), context.clock.now())),
         peers: Peers::new(key.clone(), own.clone(), peer_config()),
         in_force: RefCell::new(TableInForce::new()),
@@ -178,19 +180,19 @@
         feed,
         archive: RefCell::new(Archive::new()),
         packer: RefCell::new(Packer::new()),
-        whole_bundle: RefCell::default(),
-        catch_up: RefCell::new(PullScheduler::new()),
-        sources: RefCell::default(),
-        told: TellCount::default(),
+        snapshot_bundle: RefCell::default(),
+        pull_scheduler: RefCell::new(PullScheduler::new()),
+        pull_sources: RefCell::default(),
+        served_pulls: PullCounts::default(),
         uplink: RefCell::new(Uplink::new(context.settings.link_bandwidth)),
-        away_since: Cell::new(None),
-        named_by: RefCell::new(None),
-        role_look: Notify::new(),
-        given: RefCell::new(BTreeMap::new()),
+        platform_outage_started_at: Cell::new(None),
+        last_view: RefCell::new(None),
+        recheck_reader_role: Notify::new(),
+        assigned_targets: RefCell::new(BTreeMap::new()),
         published_version: Cell::new(0),
         seeds: RefCell::new(context.settings.seeds.clone()),
         ready,
-        known: Cell::new(1),
+        known_entries: Cell::new(1),
         context,
     }
 }
@@ -199,7 +201,7 @@
     PeerConfig {
         handshake_timeout: PEER_TIMEOUT,
         call_timeout: PEER_TIMEOUT,
-        connections_max: CONNECTIONS_MAX,
+        connections_max: PEER_CONNECTIONS_MAX,
         ..PeerConfig::default()
     }
 }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What callers and targets are spoken to in: header names, paths and forms of a platform.
+//! Header names, paths and formats that a platform uses with callers and targets.
 
 use std::time::Duration;
 
@@ -6,48 +6,49 @@
 use shallotfork_balance::TargetLoad;
 use shallotfork_types::{Endpoint, FailureDomain};
 
-/// Names of the headers by which a platform's callers, entries and targets understand each other.
+/// Names of the headers that a platform's callers, entries and targets exchange.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
     /// Identifies one attempt of a caller; echoed by targets.
     pub request_id: HeaderName,
-    /// Milliseconds that the sender still waits.
+    /// Milliseconds for which the sender still waits.
     pub deadline_ms: HeaderName,
-    /// The only target that may run the request; any other answers 421.
+    /// The only target that may run the request; any other one answers 421.
     pub expected_target: HeaderName,
-    /// By which a caller knows the answer to be its target's own.
+    /// Proves to a caller that an answer comes from its target.
     pub signature: HeaderName,
-    /// On an answer that says that the request did not run.
+    /// Marks an answer to a request that did not run.
     pub not_run: HeaderName,
-    /// A target's account of its load.
+    /// Load that a target reports.
     pub load: HeaderName,
-    /// A target's rate limit in requests per second, for all entries together.
+    /// Rate limit of a target in requests per second, for all entries together.
     pub rate_limit: HeaderName,
-    /// Milliseconds for which a target stays cold, in health answers.
+    /// Milliseconds for which a target stays cold, in answers to health requests.
     pub warmup_remaining_ms: HeaderName,
 }
 
-/// Paths that are not those of any route.
+/// Paths that the entry answers itself, outside of all routes.
 #[derive(Debug, Clone)]
 pub struct Paths {
-    /// Whether this process takes new work.
+    /// Path that reports whether this process takes new work.
     pub readiness: String,
-    /// Which addresses a caller should use.
+    /// Path that lists the addresses that a caller should use.
     pub directory: String,
 }
 
-/// The whole dialect of a platform.
+/// Platform-specific header names, paths and formats.
 #[derive(Debug, Clone)]
 pub struct Dialect {
-    /// Header names.
+    /// Names of headers.
     pub headers: HeaderNames,
-    /// Paths.
+    /// Paths that the entry answers itself.
     pub paths: Paths,
-    /// Reads a target's account of its load; `None` when it is not in the platform's form.
+    /// Parses a target's load report; `None` if it is not in the platform's format.
     pub parse_load: fn(&str) -> Option<TargetLoad>,
-    /// Where a caller who asks for addresses stands, by the query of its question; `None` when it
-    /// does not say.
+    /// Parses a caller's failure domain from the query of a directory request; `None` if the query
+    /// does not contain it.
     pub parse_caller_domain: fn(&str) -> Option<FailureDomain>,
-    /// Writes the answer to a caller who asks for addresses: these, and how long to keep them.
+    /// Formats the answer to a directory request from the addresses and the time for which callers
+    /// may keep them.
     pub format_directory_answer: fn(&[Endpoint], Duration) -> String,
 }
--- a/crates/gateway/src/leave.rs
+++ b/crates/gateway/src/leave.rs
@@ -1,4 +1,4 @@
-//! The planned stop.
+//! Planned stop of the process.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,54 +9,57 @@
 use crate::context::Context;
 use crate::control::ControlHandle;
 
-/// Part of the grace in which new connections are still taken: callers come for as long as they
-/// keep an old answer. What comes in the last moment has the other half to be answered.
-const OPEN_PART: f64 = 0.48;
-/// Part of the grace after which requests that are still with a target are given up. The users
-/// count it as cut off if that happens before the last sixth.
-const ANSWER_PART: f64 = 0.85;
-/// Part of the grace after which the process ends, so that it is gone before it is killed, also on
-/// a busy VM of a tenth of a processor.
-const END_PART: f64 = 0.89;
-/// Time for other entries to hear of it; one that is cut off must not hold up the stop.
-const TELL_MAX: Duration = Duration::from_millis(500);
-/// How often to look whether anything is in flight.
-const LOOK: Duration = Duration::from_millis(20);
+/// Fraction of the shutdown grace during which new connections are accepted. Callers keep arriving
+/// for as long as they keep an old directory answer; about half of the grace is left to answer the
+/// last of them.
+const OPEN_GRACE_FRACTION: f64 = 0.48;
+/// Fraction of the grace after which requests that are still at a target are given up. The users
+/// count a request as cut off if it is given up before the last sixth of the grace.
+const ANSWER_GRACE_FRACTION: f64 = 0.85;
+/// Fraction of the grace after which the process ends, so that it has ended before it is killed,
+/// even on a busy VM with a tenth of a processor.
+const END_GRACE_FRACTION: f64 = 0.89;
+/// Timeout for informing other entries; one that is unreachable must not delay the stop.
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval of the checks whether requests are in flight.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Stops the process without cutting off a request.
 ///
-/// 1. Other entries are told, and no answer of the directory names this one any more.
-/// 2. Callers who keep an old answer are served; each answer asks them to close. What can't be
-///    served before the end is refused then, while there is time to say so.
-/// 3. The port closes; what is in flight ends.
+/// 1. Other entries are informed, and directory answers no longer contain this entry.
+/// 2. Callers that keep an old directory answer are still served, and each answer asks them to
+///    close the connection. Requests that can't be served before the end are rejected while there
+///    is time to answer them.
+/// 3. The port closes, and the requests in flight end.
 pub async fn leave(context: &Arc<Context>, control: &ControlHandle, process: Process<Leaving>) {
     let callers = &context.callers;
-    let began = context.clock.now();
+    let started_at = context.clock.now();
     let grace = context.settings.shutdown_grace;
-    context.set_answer_deadline(began.plus(grace.mul_f64(ANSWER_PART)));
+    context.set_answer_deadline(started_at.plus(grace.mul_f64(ANSWER_GRACE_FRACTION)));
     callers.announce_close();
-    let _slow = tokio::time::timeout(TELL_MAX, control.leave()).await;
-    let (open, end) = (grace.mul_f64(OPEN_PART), grace.mul_f64(END_PART));
-    tokio::time::sleep(open.saturating_sub(context.clock.now().since(began))).await;
+    let _slow = tokio::time::timeout(ANNOUNCE_TIMEOUT, control.leave()).await;
+    let (open, end) = (grace.mul_f64(OPEN_GRACE_FRACTION), grace.mul_f64(END_GRACE_FRACTION));
+    tokio::time::sleep(open.saturating_sub(context.clock.now().since(started_at))).await;
     callers.stop();
-    finish(context, began.plus(end)).await;
+    wait_until_idle(context, started_at.plus(end)).await;
     process.stop();
 }
 
-/// Stops a process that is asked to before it says that it serves. Nobody was sent to it yet, but
-/// callers of the one that ran at its address before may have come, and be waiting for answers.
+/// Stops a process that is asked to stop before it serves. It has not been advertised yet, but
+/// callers of the process that ran at its address before may have connected and be waiting for
+/// answers.
 pub async fn leave_before_serving(context: &Arc<Context>) {
-    let (began, grace) = (context.clock.now(), context.settings.shutdown_grace);
-    context.set_answer_deadline(began.plus(grace.mul_f64(ANSWER_PART)));
+    let (started_at, grace) = (context.clock.now(), context.settings.shutdown_grace);
+    context.set_answer_deadline(started_at.plus(grace.mul_f64(ANSWER_GRACE_FRACTION)));
     context.callers.stop();
-    finish(context, began.plus(grace.mul_f64(END_PART))).await;
+    wait_until_idle(context, started_at.plus(grace.mul_f64(END_GRACE_FRACTION))).await;
 }
 
-/// Waits until nothing is in flight, at most until `end`.
-async fn finish(context: &Context, end: Mono) {
+/// Waits until no request is in flight, at most until `end`.
+async fn wait_until_idle(context: &Context, end: Mono) {
     while context.callers.in_flight() > 0 && context.clock.now() < end {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    // The last answers are on their way out of the process.
-    tokio::time::sleep(LOOK).await;
+    // Leaves time to write the last answers to their connections.
+    tokio::time::sleep(POLL_INTERVAL).await;
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,16 +1,17 @@
 //! An entry process for platforms that publish routes and targets one by one.
 //!
-//! Control state lives on one thread ([`control`]): what is published, and which other entries
-//! live. Traffic threads ([`traffic`]) read snapshots that control publishes. A platform is a
-//! [`Feed`](shallotfork_feed::Feed) that is read and a [`Dialect`] that is spoken; nothing here knows its names.
+//! One thread owns the control state ([`control`]): published items and the view of the fleet.
+//! Traffic threads ([`traffic`]) read snapshots that it publishes. A platform is accessed through a
+//! [`Feed`](shallotfork_feed::Feed), and its header names and formats are given by a [`Dialect`];
+//! this crate contains no names of any platform.
 
 mod context;
 mod control;
 mod dialect;
-mod follow_settings;
 mod leave;
 mod log_budget;
 mod metrics_page;
+mod reload;
 mod run;
 mod settings;
 mod snapshot;
@@ -18,6 +19,6 @@
 mod transfer;
 
 pub use dialect::{Dialect, HeaderNames, Paths};
-pub use follow_settings::ignore_sighup;
+pub use reload::ignore_sighup;
 pub use run::{PlatformAdapter, ReloadFn, run};
 pub use settings::{GatewaySettings, Ports};
--- a/crates/gateway/src/log_budget.rs
+++ b/crates/gateway/src/log_budget.rs
@@ -1,4 +1,4 @@
-//! Bounds the lines that are logged about requests.
+//! Bounds the number of log lines per second.
 
 use std::sync::Mutex;
 
@@ -8,53 +8,53 @@
 
 const SECOND_US: u64 = 1_000_000;
 
-/// Lines about requests that went well, of which a busy process could write more than anybody
-/// reads. Lines about failures, refusals and changes of belief are not counted: they are fewer, and
-/// those that explain something.
+/// Limit on log lines of one kind. A busy process could write more lines about successful requests
+/// than anybody reads. Lines about failures, rejections and state changes are never suppressed:
+/// they are fewer and explain problems.
 #[derive(Debug)]
 pub struct LogBudget {
     limit: PerSecond,
-    used: Mutex<Used>,
+    window: Mutex<LogWindow>,
 }
 
 #[derive(Debug, Default)]
-struct Used {
+struct LogWindow {
     second: u64,
     lines: u32,
     left_out: u64,
 }
 
-/// Whether a line may be written.
+/// Whether a log line may be written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogDecision {
-    /// It may; so many were left out before it.
+    /// The line may be written.
     Write {
-        /// Lines left out since the last one that was written.
+        /// Lines suppressed since the last one that was written.
         left_out: u64,
     },
-    /// It is left out, and counted.
+    /// The line is suppressed and counted.
     Suppress,
 }
 
 impl LogBudget {
-    /// Allows so many lines in each second.
+    /// Creates a budget of `limit` lines in each second.
     pub fn new(limit: PerSecond) -> Self {
-        Self { limit, used: Mutex::default() }
+        Self { limit, window: Mutex::default() }
     }
 
-    /// Asks for one line.
+    /// Requests permission to write one line.
     pub fn try_acquire(&self, now: Mono) -> LogDecision {
-        let mut used = lock(&self.used);
+        let mut window = lock(&self.window);
         let second = now.as_micros() / SECOND_US;
-        if used.second != second {
-            used.second = second;
-            used.lines = 0;
+        if window.second != second {
+            window.second = second;
+            window.lines = 0;
         }
-        if used.lines >= self.limit.value() {
-            used.left_out += 1;
+        if window.lines >= self.limit.value() {
+            window.left_out += 1;
             return LogDecision::Suppress;
         }
-        used.lines += 1;
-        LogDecision::Write { left_out: std::mem::take(&mut used.left_out) }
+        window.lines += 1;
+        LogDecision::Write { left_out: std::mem::take(&mut window.left_out) }
     }
 }
--- a/crates/gateway/src/follow_settings.rs
+++ b/crates/gateway/src/reload.rs
@@ -1,4 +1,4 @@
-//! Takes changed settings into force while the process runs.
+//! Reloads the settings while the process runs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,30 +11,31 @@
 use crate::control::ControlHandle;
 use crate::run::ReloadFn;
 
-/// How often the settings are read without a signal; the platform may change them silently.
-const LOOK: Duration = Duration::from_secs(2);
+/// Interval at which the settings are read without a signal, because the platform may change them
+/// without sending one.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// From now on SIGHUP does not end the process. To be called first of all: the settings of a process
-/// that starts may change as well, and it reads them later.
+/// Keeps SIGHUP from terminating the process. Must be called before anything else: the platform may
+/// also change the settings of a starting process, which reads them later.
 ///
 /// # Errors
-/// When the signal can't be watched.
+/// Returns an error if the signal handler can't be installed.
 pub fn ignore_sighup() -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build()?;
     let _entered = runtime.enter();
-    // What tokio does at the first watch of a signal holds until the process ends.
+    // The handler that tokio installs on first use stays until the process ends.
     let _watch = signal(SignalKind::hangup())?;
     Ok(())
 }
 
-/// Reads the settings again at SIGHUP and at regular intervals. SIGHUP's own effect, the end of the
-/// process, would cut off every request.
+/// Reloads the settings on SIGHUP and at regular intervals. The default action of SIGHUP, which
+/// terminates the process, would cut off every request.
 ///
-/// What can change while the process runs are the seeds; ports and names hold until the next start.
+/// Only the seeds can change while the process runs; ports and names stay until the next start.
 ///
 /// # Errors
-/// When the signal can't be watched.
-pub fn follow_settings(
+/// Returns an error if the signal handler can't be installed.
+pub fn watch_settings(
     context: Arc<Context>,
     control: ControlHandle,
     reload: ReloadFn,
@@ -42,26 +43,26 @@
     let mut hangup = signal(SignalKind::hangup())?;
     Ok(async move {
         let mut in_force = context.settings.clone();
-        let mut readable = true;
+        let mut is_readable = true;
         loop {
-            let signalled = tokio::select! {
+            let is_signalled = tokio::select! {
                 _ = hangup.recv() => true,
-                () = tokio::time::sleep(LOOK) => false,
+                () = tokio::time::sleep(RELOAD_INTERVAL) => false,
             };
             match reload() {
                 Ok(settings) => {
-                    if signalled || settings != in_force {
+                    if is_signalled || settings != in_force {
                         event!(context.log, RELOADED, "seeds" => settings.seeds.len());
                         control.set_seeds(settings.seeds.clone());
                         in_force = settings;
                     }
-                    readable = true;
+                    is_readable = true;
                 }
                 Err(error) => {
-                    if signalled || readable {
+                    if is_signalled || is_readable {
                         event!(context.log, SETTINGS_BAD, "reason" => format!("{error:#}"));
                     }
-                    readable = false;
+                    is_readable = false;
                 }
             }
         }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -25,10 +25,10 @@
 use crate::context::{Context, PriorWaitEstimators, Services};
 use crate::control::{ControlHandle, ControlParts, start};
 use crate::dialect::Dialect;
-use crate::follow_settings::follow_settings;
 use crate::leave::{leave, leave_before_serving};
 use crate::log_budget::LogBudget;
 use crate::metrics_page::MetricsPage;
+use crate::reload::watch_settings;
 use crate::settings::GatewaySettings;
 use crate::snapshot::{FleetSnapshot, Published};
 use crate::traffic::{
@@ -36,26 +36,26 @@
 };
 use shallotfork_feed::Feed;
 
-/// Lines a second about requests that went well: about as many requests as the users' busiest entry
-/// answers today, so that in the ordinary case each can be followed by its id.
-const REQUEST_LINES: PerSecond = PerSecond::new(400);
+/// Log lines per second about successful requests. The users' busiest entry answers about as many
+/// requests today, so that ordinarily each request can be traced by its id.
+const REQUEST_LOG_LIMIT: PerSecond = PerSecond::new(400);
 
-/// Lines a second about what targets say that is not valid; they may repeat it in every answer.
-const INVALID_LINES: PerSecond = PerSecond::new(1);
+/// Log lines per second about invalid data from targets, which may repeat it in every answer.
+const INVALID_LOG_LIMIT: PerSecond = PerSecond::new(1);
 
-/// What a platform's adapter brings.
+/// What [`run`] needs from the program for a platform.
 pub struct PlatformAdapter {
-    /// Settings.
+    /// Settings of the entry.
     pub settings: GatewaySettings,
-    /// Header names and forms.
+    /// Header names, paths and formats of the platform.
     pub dialect: Dialect,
-    /// The platform.
+    /// Interface to the platform.
     pub feed: Arc<dyn Feed>,
-    /// Reads the settings again, as the platform may change them while the process runs.
+    /// Reads the settings again, because the platform may change them while the process runs.
     pub reload: ReloadFn,
 }
 
-/// Reads the settings as they are now.
+/// Reads the current settings.
 pub type ReloadFn = Arc<dyn Fn() -> Result<GatewaySettings> + Send + Sync>;
 
 struct Listeners {
@@ -66,12 +66,12 @@
     metrics: StdListener,
 }
 
-/// Runs the process until it is told to stop.
+/// Runs the process until it is asked to stop.
 ///
 /// # Errors
-/// When a port can't be bound, or a part of the process can't be started.
-pub fn run(program: PlatformAdapter) -> Result<()> {
-    let PlatformAdapter { settings, dialect, feed, reload } = program;
+/// Returns an error if a port can't be bound or a part of the process can't be started.
+pub fn run(adapter: PlatformAdapter) -> Result<()> {
+    let PlatformAdapter { settings, dialect, feed, reload } = adapter;
     let incarnation = Incarnation::from_start_time(unix_time_ms(), rand::rng().random());
     let log_config = LogConfig {
         vm: settings.vm.to_string(),
@@ -104,8 +104,8 @@
         splitter: Mutex::new(Splitter::new()),
         prior_waits: PriorWaitEstimators::default(),
         answer_deadline: watch::Sender::new(None),
-        request_log_budget: LogBudget::new(REQUEST_LINES),
-        invalid_log_budget: LogBudget::new(INVALID_LINES),
+        request_log_budget: LogBudget::new(REQUEST_LOG_LIMIT),
+        invalid_log_budget: LogBudget::new(INVALID_LOG_LIMIT),
         request_started: Notify::new(),
         scheduling_delay: Mutex::default(),
         rate_limits: Mutex::default(),
@@ -124,8 +124,8 @@
     })?;
     let runtime =
         tokio::runtime::Builder::new_multi_thread().worker_threads(threads).enable_all().build()?;
-    let parts = Parts { context, control, process, listeners, metrics, is_ready, reload };
-    runtime.block_on(serve_all(parts))
+    let parts = ServerParts { context, control, process, listeners, metrics, is_ready, reload };
+    runtime.block_on(serve_until_stopped(parts))
 }
 
 fn bind(settings: &GatewaySettings) -> Result<Listeners> {
@@ -145,7 +145,7 @@
     })
 }
 
-struct Parts {
+struct ServerParts {
     context: Arc<Context>,
     control: ControlHandle,
     process: Process<Starting>,
@@ -155,15 +155,21 @@
     reload: ReloadFn,
 }
 
-async fn serve_all(parts: Parts) -> Result<()> {
-    let Parts { context, control, process, listeners, metrics, mut is_ready, reload } = parts;
-    let mut stop = Stop::new()?;
-    tokio::spawn(follow_settings(Arc::clone(&context), control.clone(), reload)?);
+async fn serve_until_stopped(parts: ServerParts) -> Result<()> {
+    let ServerParts { context, control, process, listeners, metrics, mut is_ready, reload } = parts;
+    let mut stop_signals = StopSignals::new()?;
+    tokio::spawn(watch_settings(Arc::clone(&context), control.clone(), reload)?);
     let shared = Arc::clone(&context);
-    serve_aside(listeners.readiness, make_sync(move |request| readiness(&shared, &request)))?;
+    serve_without_drain(
+        listeners.readiness,
+        make_sync(move |request| readiness(&shared, &request)),
+    )?;
     let shared = Arc::clone(&context);
-    serve_aside(listeners.directory, make_sync(move |request| directory(&shared, &request)))?;
-    serve_aside(listeners.metrics, make_sync(move |_| metrics.render()))?;
+    serve_without_drain(
+        listeners.directory,
+        make_sync(move |request| directory(&shared, &request)),
+    )?;
+    serve_without_drain(listeners.metrics, make_sync(move |_| metrics.render()))?;
     let callers = context.callers.clone();
     let shared = Arc::clone(&context);
     let endpoint = make(move |request| front(Arc::clone(&shared), request));
@@ -176,20 +182,22 @@
     tokio::spawn(lateness(Arc::clone(&context)));
     tokio::spawn(service_load(Arc::clone(&context), TimerService::new(context.clock)));
     tokio::select! {
-        ready = is_ready.wait_for(|ready| *ready) => drop(ready.context("control has ended")?),
-        () = stop.asked() => {
+        ready = is_ready.wait_for(|ready| *ready) => drop(
+            ready.context("control thread ended before routes were in force")?
+        ),
+        () = stop_signals.recv() => {
             leave_before_serving(&context).await;
             return Ok(());
         }
     }
     let process = process.serve();
-    stop.asked().await;
+    stop_signals.recv().await;
     leave(&context, &control, process.leave()).await;
     Ok(())
 }
 
 /// Serves a port that needs no planned stop.
-fn serve_aside<E>(listener: StdListener, endpoint: E) -> Result<()>
+fn serve_without_drain<E>(listener: StdListener, endpoint: E) -> Result<()>
 where
     E: IntoEndpoint + Send + 'static,
     E::Endpoint: 'static,
@@ -199,20 +207,20 @@
     Ok(())
 }
 
-/// Signals that ask for a planned stop.
-struct Stop {
+/// Signals that request a planned stop.
+struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
-impl Stop {
+impl StopSignals {
     fn new() -> Result<Self> {
         let terminate = signal(SignalKind::terminate())?;
         let interrupt = signal(SignalKind::interrupt())?;
         Ok(Self { terminate, interrupt })
     }
 
-    async fn asked(&mut self) {
+    async fn recv(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! What one entry process is told at its start.
+//! Settings of one entry process.
 
 use std::time::Duration;
 
@@ -7,52 +7,52 @@
     Bytes, BytesPerSecond, Endpoint, FailureDomain, PerSecond, Permille, VmId,
 };
 
-/// Where the process listens.
+/// Addresses that the process listens on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ports {
-    /// Requests of callers.
+    /// Address for requests of callers.
     pub callers: Endpoint,
-    /// Questions whether the process takes new work.
+    /// Address for readiness checks.
     pub readiness: Endpoint,
-    /// Other entries.
+    /// Address for connections from other entries.
     pub peers: Endpoint,
-    /// Questions which addresses to use.
+    /// Address for directory requests, which ask for the addresses to use.
     pub directory: Endpoint,
-    /// Metrics.
+    /// Address for metrics.
     pub metrics: Endpoint,
 }
 
 /// Settings of one entry process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GatewaySettings {
-    /// This VM.
+    /// Name of this VM.
     pub vm: VmId,
-    /// Where it stands.
+    /// Failure domain of this VM.
     pub failure_domain: FailureDomain,
-    /// Which failure domains stand in which region; empty when that is not known.
+    /// Region of each failure domain; empty if the regions are not known.
     pub regions: Regions,
-    /// Requests a second that this VM could carry, by its processor and its link.
+    /// Requests per second that this VM can carry, given its processor and its link.
     pub capacity: PerSecond,
-    /// What the VM's link carries in each direction.
+    /// Bandwidth of the VM's link in each direction.
     pub link_bandwidth: BytesPerSecond,
-    /// Where it listens.
+    /// Addresses that the process listens on.
     pub ports: Ports,
     /// Peer ports of some entries, which may be down or out of date.
     pub seeds: Vec<Endpoint>,
-    /// Proves that a peer belongs to the same deployment.
+    /// Key that proves that a peer belongs to the same deployment.
     pub fleet_key: Vec<u8>,
-    /// Threads for traffic.
+    /// Number of traffic threads.
     pub traffic_threads: usize,
-    /// Bytes of bodies held at one time.
+    /// Most bytes of bodies held in memory at one time.
     pub body_budget: Bytes,
     /// Longest time between the request to stop and the end of the process.
     pub shutdown_grace: Duration,
-    /// How long callers may keep an answer of the directory.
+    /// How long callers may keep a directory answer.
     pub directory_ttl: Duration,
-    /// Window in which repeated sends are bounded over all entries.
+    /// Window in which repeated sends are bounded, for all entries together.
     pub retry_window: Duration,
-    /// Repeated sends allowed over all entries, as a share of requests.
+    /// Repeated sends allowed in a window for all entries together, as a share of requests.
     pub retry_share: Permille,
-    /// Repeated sends allowed over all entries besides that share.
+    /// Repeated sends allowed in a window in addition to that share, for all entries together.
     pub retry_extra: u32,
 }
--- a/crates/gateway/src/snapshot.rs
+++ b/crates/gateway/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What the control thread publishes for the traffic threads.
+//! Snapshots that the control thread publishes for the traffic threads.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -9,44 +9,44 @@
 use shallotfork_routes::RouteTable;
 use shallotfork_types::{FailureDomain, Mono, Permille, TargetId};
 
-/// What is published, as this process knows it.
+/// Published items as this process knows them.
 #[derive(Debug, Clone, Default)]
 pub struct Published {
-    /// The routes in force; `None` before the first.
+    /// Routes in force; `None` before the first ones.
     pub table: Option<Arc<RouteTable>>,
-    /// Every target, draining ones included.
+    /// All targets, including draining ones.
     pub targets: Arc<HashMap<TargetId, TargetRecord>>,
-    /// Failure domains whose targets get nothing more.
+    /// Evacuated failure domains, whose targets get no further requests.
     pub evacuated: Arc<BTreeMap<FailureDomain, Evacuation>>,
     /// Since when the platform has not answered; `None` while it does.
     pub platform_disconnected_at: Option<Mono>,
 }
 
-/// What is known of the fleet.
+/// View of the fleet.
 #[derive(Debug, Clone, Default)]
 pub struct FleetSnapshot {
-    /// The entries that callers are sent to, best first.
+    /// Entries advertised to callers, best first.
     pub advertised: Vec<AdvertisedEntry>,
-    /// Whether callers are sent to this process.
+    /// Whether callers are sent to this process: it is advertised, or no entry is.
     pub is_advertised: bool,
-    /// Entries that are live as far as this process knows, itself included.
+    /// Core entries that are live in the view of this process.
     pub live_entries: usize,
-    /// The most entries known at one time.
+    /// Largest number of core entries that were live at one time.
     pub known_entries: usize,
-    /// Whether this process has run for long enough to have met the others.
+    /// Whether this process has run for long enough to have discovered the others.
     pub is_settled: bool,
 }
 
 impl FleetSnapshot {
-    /// Whether this process sees most of the fleet, so that no other part of it does.
+    /// Whether this process sees most of the fleet, so that no other partition of the fleet does.
     pub fn sees_majority(&self) -> bool {
         self.live_entries * 2 > self.known_entries
     }
 
-    /// The part of what the whole fleet may do that this process and those that it sees may do: all
-    /// of it if it sees most of the fleet. All parts of a divided fleet together have less than one
-    /// and a half. A process that has just started may take itself for the only one, so that it has
-    /// no part.
+    /// Returns the share of fleet-wide limits that this process and the entries that it sees may
+    /// use: the whole if it sees most of the fleet. The shares of all partitions of a divided fleet
+    /// add up to less than one and a half. A process that has just started may see itself as the
+    /// only entry, so its share is zero.
     pub fn share(&self) -> Permille {
         if !self.is_settled {
             return Permille::new(0);
--- a/crates/gateway/src/transfer.rs
+++ b/crates/gateway/src/transfer.rs
@@ -1,30 +1,31 @@
-//! Counts what this entry exchanges with others and with targets, by what it is and by the failure
-//! domain of the other side: bytes that cross are dear to some operators.
+//! Counts the bytes that this entry exchanges with other entries and with targets, by kind and by
+//! the failure domain of the other side. Traffic between failure domains is expensive for some
+//! operators.
 
 use http::HeaderMap;
 use metrics::counter;
 use shallotfork_types::FailureDomain;
 
-/// Bytes of a header beside its name and value.
-const HEADER_FRAME_BYTES: usize = 4;
+/// Bytes that each header takes in addition to its name and value.
+const HEADER_OVERHEAD_BYTES: usize = 4;
 
-/// What was carried.
+/// Kind of the transferred data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransferKind {
     /// Requests to targets.
     Requests,
-    /// Answers of targets.
+    /// Answers from targets.
     Answers,
-    /// Probes to targets for their load, with the answers.
+    /// Load probes of targets, with their answers.
     Probes,
-    /// Heartbeats called by this entry, with the answers and the connections for them.
+    /// Heartbeats sent by this entry, with their answers and the connections opened for them.
     Heartbeats,
-    /// Published items read from other entries.
+    /// Published items pulled from other entries.
     Pulls,
 }
 
 impl TransferKind {
-    /// Adds bytes exchanged with a failure domain.
+    /// Adds bytes exchanged with a failure domain to the metric.
     pub fn record_bytes(self, domain: &FailureDomain, bytes: u64) {
         let domain = domain.as_str().to_owned();
         counter!("shallotfork_bytes", "kind" => self.as_str(), "domain" => domain).increment(bytes);
@@ -41,10 +42,10 @@
     }
 }
 
-/// Bytes of a message, without its first line.
+/// Returns the size of a message in bytes, without its first line.
 pub fn message_bytes(headers: &HeaderMap, body_bytes: usize) -> u64 {
     let header_bytes = |(name, value): (&http::HeaderName, &http::HeaderValue)| {
-        name.as_str().len() + value.len() + HEADER_FRAME_BYTES
+        name.as_str().len() + value.len() + HEADER_OVERHEAD_BYTES
     };
     (headers.iter().map(header_bytes).sum::<usize>() + body_bytes) as u64
 }
