--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! An entry process for platforms that publish routes and targets one by one.
 //!
-//! One thread owns the control state ([`control`]): published items and the view of the fleet.
-//! Traffic threads ([`traffic`]) read snapshots that it publishes. A platform is accessed through a
+//! One thread owns the control state (`control`): published items and the view of the fleet.
+//! Traffic threads (`traffic`) read snapshots that it publishes. A platform is accessed through a
 //! [`Feed`](shallotfork_feed::Feed), and its header names and formats are given by a [`Dialect`];
 //! this crate contains no names of any platform.
 
