--- a/crates/gateway/src/control/beats.rs
+++ b/crates/gateway/src/control/beats.rs
@@ -78,7 +78,7 @@
     let own = own_heartbeat(&state, &client.peer().vm, None);
     match client.heartbeat(&own).await {
         Ok(answer) => {
-            Carried::Heartbeats.count(&answer.failure_domain, client.take_bytes());
+            Carried::Heartbeats.count(&answer.failure_domain, client.take_transferred_bytes());
             heard(&state, client.peer(), &answer);
             if should_read_from(&state, &answer) {
                 let failure_domain = answer.failure_domain;
--- a/crates/gateway/src/control/handler.rs
+++ b/crates/gateway/src/control/handler.rs
@@ -7,7 +7,7 @@
 use shallotfork_once::{
     ClaimAnswer, ClaimId, Completion, CompletionAnswer, LedgerPart, OperationId, Session,
 };
-use shallotfork_peer::{Changes, ChangesAsked, Heartbeat, PeerHandler, PeerId};
+use shallotfork_peer::{Changes, ChangesRequest, Heartbeat, PeerHandler, PeerId};
 
 use crate::control::hearing::{heard, own_heartbeat};
 use crate::control::state::State;
@@ -21,7 +21,7 @@
 }
 
 impl PeerHandler for Handler {
-    fn refused(&self, from: SocketAddr) {
+    fn handshake_rejected(&self, from: SocketAddr) {
         event!(self.state.context.log, PEER_REFUSED, "peer" => from.to_string());
     }
 
@@ -55,7 +55,7 @@
         None
     }
 
-    async fn changes(&self, asked: ChangesAsked) -> Option<Changes> {
+    async fn changes(&self, asked: ChangesRequest) -> Option<Changes> {
         told(&self.state, asked)
     }
 
--- a/crates/gateway/src/control/hearing.rs
+++ b/crates/gateway/src/control/hearing.rs
@@ -3,7 +3,7 @@
 use shallotfork_fleet::{FleetHeartbeat, PlatformAges};
 use shallotfork_measure::RateLimitReport;
 use shallotfork_membership::{Announcement, ListedVm, MemberUpdate};
-use shallotfork_peer::{Heartbeat, PeerId, PeerNews, PeerState, PlatformWord};
+use shallotfork_peer::{Heartbeat, PeerId, PeerState, PeerUpdate, PlatformReport};
 use shallotfork_quarantine::{CrashReport, QuarantineDigest};
 use shallotfork_types::VmId;
 
@@ -34,20 +34,20 @@
         callers: from.listed.callers,
         peers: from.listed.peers,
         round: from.round,
-        news: updates.into_iter().map(peer_news).collect(),
+        updates: updates.into_iter().map(peer_news).collect(),
         seen_revision: position,
         synced_revision: position,
         lists_digest: core_digest,
-        platform_lost: is_disconnected,
+        is_disconnected,
         platform: platform_word(platform),
         domain_entries,
-        behind: is_overloaded,
+        is_overloaded,
         crash_reports,
         quarantine_digest,
         rate_limits: lock(&state.context.rate_limits).reports(state.now()),
         restart_safe: true,
         loads: Vec::new(),
-        strength: from.listed.capacity,
+        capacity: from.listed.capacity,
     }
 }
 
@@ -56,12 +56,12 @@
     let beat = FleetHeartbeat {
         from: announcement(peer, heartbeat),
         is_starting: heartbeat.state == PeerState::Starting,
-        updates: heartbeat.news.iter().map(told_news).collect(),
+        updates: heartbeat.updates.iter().map(told_news).collect(),
         core_digest: heartbeat.lists_digest,
-        is_disconnected: heartbeat.platform_lost,
+        is_disconnected: heartbeat.is_disconnected,
         platform: platform_ages(heartbeat.platform),
         domain_entries: heartbeat.domain_entries,
-        is_overloaded: heartbeat.behind,
+        is_overloaded: heartbeat.is_overloaded,
     };
     state.fleet.borrow_mut().receive_heartbeat(&beat, state.now());
     note_sight(state);
@@ -105,7 +105,7 @@
             callers: beat.callers,
             peers: beat.peers,
             leaving: beat.state == PeerState::Leaving,
-            capacity: beat.strength,
+            capacity: beat.capacity,
         },
         incarnation: peer.incarnation,
         round: beat.round,
@@ -119,41 +119,41 @@
     if starting { PeerState::Starting } else { PeerState::Live }
 }
 
-fn platform_word(ages: PlatformAges) -> PlatformWord {
+fn platform_word(ages: PlatformAges) -> PlatformReport {
     let PlatformAges { last_answer, reader_last_seen, outage } = ages;
-    PlatformWord { answered: last_answer, reader_heard: reader_last_seen, away: outage }
+    PlatformReport { last_answer, reader_last_seen, outage }
 }
 
-fn platform_ages(word: PlatformWord) -> PlatformAges {
-    let PlatformWord { answered, reader_heard, away } = word;
-    PlatformAges { last_answer: answered, reader_last_seen: reader_heard, outage: away }
+fn platform_ages(word: PlatformReport) -> PlatformAges {
+    let PlatformReport { last_answer, reader_last_seen, outage } = word;
+    PlatformAges { last_answer, reader_last_seen, outage }
 }
 
-fn peer_news(news: MemberUpdate) -> PeerNews {
+fn peer_news(news: MemberUpdate) -> PeerUpdate {
     let MemberUpdate { about, suspected } = news;
-    PeerNews {
-        about: PeerId::new(about.listed.vm, about.incarnation),
+    PeerUpdate {
+        peer: PeerId::new(about.listed.vm, about.incarnation),
         round: about.round,
         state: peer_state(about.listed.leaving, false),
         suspected,
         failure_domain: about.listed.failure_domain,
         callers: about.listed.callers,
         peers: about.listed.peers,
-        strength: about.listed.capacity,
+        capacity: about.listed.capacity,
     }
 }
 
-fn told_news(news: &PeerNews) -> MemberUpdate {
+fn told_news(news: &PeerUpdate) -> MemberUpdate {
     let about = Announcement {
         listed: ListedVm {
-            vm: news.about.vm.clone(),
+            vm: news.peer.vm.clone(),
             failure_domain: news.failure_domain.clone(),
             callers: news.callers,
             peers: news.peers,
             leaving: news.state == PeerState::Leaving,
-            capacity: news.strength,
+            capacity: news.capacity,
         },
-        incarnation: news.about.incarnation,
+        incarnation: news.peer.incarnation,
         round: news.round,
     };
     MemberUpdate { about, suspected: news.suspected }
--- a/crates/gateway/src/control/reading.rs
+++ b/crates/gateway/src/control/reading.rs
@@ -61,20 +61,22 @@
 async fn read_from(state: &State, source: &Source) -> Result<(), PeerError> {
     let began_at = state.now();
     let after = state.archive.borrow().position();
-    source.client.take_bytes();
+    source.client.take_transferred_bytes();
     let answer = changes(state, &source.client, after).await;
-    let bytes = source.client.take_bytes();
+    let bytes = source.client.take_transferred_bytes();
     Carried::Lists.count(&source.failure_domain, bytes);
     let changes = answer.inspect_err(|error| {
         if *error != PeerError::Busy {
             refused(state, source, after, began_at, &error.to_string());
         }
     })?;
-    let Changes { revision, whole, .. } = changes;
+    let Changes { revision, is_snapshot, .. } = changes;
     match take(state, changes) {
-        Ok(items) => {
-            report(state, source, &Reading { after, began_at, revision, items, bytes, whole })
-        }
+        Ok(items) => report(
+            state,
+            source,
+            &Reading { after, began_at, revision, items, bytes, whole: is_snapshot },
+        ),
         Err(error) => refused(state, source, after, began_at, &error.to_string()),
     }
     Ok(())
--- a/crates/gateway/src/control/relay.rs
+++ b/crates/gateway/src/control/relay.rs
@@ -38,7 +38,7 @@
 /// # Errors
 /// Why it can't be taken.
 pub fn take(state: &State, changes: Changes) -> Result<usize, PullError> {
-    let Changes { revision, mut values, whole, bundle } = changes;
+    let Changes { revision, mut values, is_snapshot, bundle } = changes;
     if let Some(Bundle { content, unpacked_size }) = bundle {
         let content = unpack(&content, unpacked_size)?;
         let bundled = decode_values(&content).map_err(|_| PullError::BadPacked(unpacked_size))?;
@@ -46,9 +46,9 @@
     }
     let items = values.into_iter().map(item).collect::<Result<Vec<_>, _>>()?;
     let count = items.len();
-    let told = PullResponse { changes: FeedChanges { items, revision }, is_snapshot: whole };
+    let told = PullResponse { changes: FeedChanges { items, revision }, is_snapshot };
     state.archive.borrow().check(&told)?;
-    if whole {
+    if is_snapshot {
         take_all(state, &told.changes.items, revision);
     } else {
         take_changes(state, &told.changes);
--- a/crates/gateway/src/control/telling.rs
+++ b/crates/gateway/src/control/telling.rs
@@ -5,7 +5,7 @@
 use metrics::{counter, gauge};
 use shallotfork_events::{ITEMS_TOLD, event};
 use shallotfork_feed::{PACK_MIN_BYTES, PullResponse, RawItem, pack};
-use shallotfork_peer::{Bundle, Changes, ChangesAsked, ValueChange, encode_values};
+use shallotfork_peer::{Bundle, Changes, ChangesRequest, ValueChange, encode_values};
 use shallotfork_types::{Bytes, Revision};
 
 use crate::control::state::State;
@@ -44,14 +44,14 @@
 
 /// What another entry is told that knows everything up to `after`; `None` while the link has enough to
 /// carry.
-pub fn told(state: &State, asked: ChangesAsked) -> Option<Changes> {
+pub fn told(state: &State, asked: ChangesRequest) -> Option<Changes> {
     let now = state.now();
     if state.uplink.borrow().is_full(now) {
         state.told.put_off.set(state.told.put_off.get() + 1);
         return None;
     }
     let told = state.archive.borrow().changes_after(asked.after);
-    let changes = if asked.takes_packed { packed(state, &told) } else { unpacked(&told) };
+    let changes = if asked.accepts_packed { packed(state, &told) } else { unpacked(&told) };
     let size = size(&changes);
     state.told.add(size.value());
     state.uplink.borrow_mut().record_sent(size, now);
@@ -66,7 +66,7 @@
 
 fn unpacked(told: &PullResponse) -> Changes {
     let values = told.changes.items.iter().map(|item| value(item, None)).collect();
-    Changes { revision: told.changes.revision, values, whole: told.is_snapshot, bundle: None }
+    Changes { revision: told.changes.revision, values, is_snapshot: told.is_snapshot, bundle: None }
 }
 
 /// Large items are packed one by one, which serves everybody who asks until they change; the others
@@ -83,7 +83,7 @@
     if bundle.is_none() {
         values.extend(small);
     }
-    Changes { revision: changes.revision, values, whole: *is_snapshot, bundle }
+    Changes { revision: changes.revision, values, is_snapshot: *is_snapshot, bundle }
 }
 
 fn is_large(item: &RawItem) -> bool {
--- a/crates/peer/examples/peer_cost.rs
+++ b/crates/peer/examples/peer_cost.rs
@@ -17,8 +17,8 @@
     Open, OperationId, Secret, Session,
 };
 use shallotfork_peer::{
-    Changes, ChangesAsked, Heartbeat, PeerClient, PeerConfig, PeerHandler, PeerId, PeerKey,
-    PeerServer, PeerState, PlatformWord,
+    Changes, ChangesRequest, Heartbeat, PeerClient, PeerConfig, PeerHandler, PeerId, PeerKey,
+    PeerServer, PeerState, PlatformReport,
 };
 use shallotfork_types::{
     Endpoint, FailureDomain, IdempotencyKey, Incarnation, ListsDigest, Mono, PerSecond, Revision,
@@ -38,7 +38,7 @@
 }
 
 impl PeerHandler for Entry {
-    fn refused(&self, _from: SocketAddr) {}
+    fn handshake_rejected(&self, _from: SocketAddr) {}
 
     async fn heartbeat(&self, _from: &PeerId, beat: Heartbeat) -> Heartbeat {
         beat
@@ -69,8 +69,13 @@
         Some(self.issuer.borrow_mut().issue(Mono::ZERO))
     }
 
-    async fn changes(&self, asked: ChangesAsked) -> Option<Changes> {
-        Some(Changes { revision: asked.after, values: Vec::new(), whole: false, bundle: None })
+    async fn changes(&self, asked: ChangesRequest) -> Option<Changes> {
+        Some(Changes {
+            revision: asked.after,
+            values: Vec::new(),
+            is_snapshot: false,
+            bundle: None,
+        })
     }
 
     async fn push(&self, _from: &PeerId, _changes: Changes) {}
@@ -146,18 +151,18 @@
         seen_revision: Revision::new(9),
         synced_revision: Revision::new(9),
         round: 0,
-        news: Vec::new(),
+        updates: Vec::new(),
         lists_digest: ListsDigest::new(9),
-        platform_lost: false,
-        platform: PlatformWord::default(),
+        is_disconnected: false,
+        platform: PlatformReport::default(),
         domain_entries: 0,
         crash_reports: Vec::new(),
         rate_limits: Vec::new(),
         quarantine_digest: Default::default(),
-        behind: false,
+        is_overloaded: false,
         restart_safe: false,
         loads: Vec::new(),
-        strength: PerSecond::default(),
+        capacity: PerSecond::default(),
     })
 }
 
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -60,7 +60,7 @@
     }
 
     /// Bytes that the connection has carried in both directions since the last call of this.
-    pub fn take_bytes(&self) -> u64 {
+    pub fn take_transferred_bytes(&self) -> u64 {
         let carried = self.carried.get();
         carried - self.taken.replace(carried)
     }
--- a/crates/peer/src/handler.rs
+++ b/crates/peer/src/handler.rs
@@ -7,7 +7,7 @@
     ClaimAnswer, ClaimId, Completion, CompletionAnswer, LedgerPart, OperationId, Session,
 };
 
-use crate::{Changes, ChangesAsked, Heartbeat, PeerId};
+use crate::{Changes, ChangesRequest, Heartbeat, PeerId};
 
 /// Functions that a peer may call once it has proved the shared key.
 ///
@@ -16,7 +16,7 @@
 /// `complete` and `close` carry the caller's proved name.
 pub trait PeerHandler: 'static {
     /// Somebody at this address failed to prove the shared key; nothing it said counts.
-    fn refused(&self, from: SocketAddr);
+    fn handshake_rejected(&self, from: SocketAddr);
 
     /// The peer is alive; answers with this process's own heartbeat.
     fn heartbeat(&self, from: &PeerId, beat: Heartbeat) -> impl Future<Output = Heartbeat>;
@@ -43,7 +43,7 @@
 
     /// The peer wants the published values changed after a revision; `None` while this process hands
     /// on as much as its link bears.
-    fn changes(&self, asked: ChangesAsked) -> impl Future<Output = Option<Changes>>;
+    fn changes(&self, asked: ChangesRequest) -> impl Future<Output = Option<Changes>>;
 
     /// The peer offers published values.
     fn push(&self, from: &PeerId, changes: Changes) -> impl Future<Output = ()>;
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -25,8 +25,8 @@
 pub use handler::PeerHandler;
 pub use key::{KEY_BYTES_MIN, KeyError, PeerKey};
 pub use message::{
-    Bundle, Changes, ChangesAsked, Heartbeat, LoadHint, PeerId, PeerNews, PeerState, PlatformWord,
-    ValueChange,
+    Bundle, Changes, ChangesRequest, Heartbeat, LoadHint, PeerId, PeerState, PeerUpdate,
+    PlatformReport, ValueChange,
 };
 pub use peer_config::PeerConfig;
 pub use server::PeerServer;
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -51,7 +51,7 @@
     /// Raised by the sender each time that it refutes a suspicion against itself.
     pub round: u32,
     /// What the sender knows of third VMs.
-    pub news: Vec<PeerNews>,
+    pub updates: Vec<PeerUpdate>,
     /// Highest revision it has heard of.
     pub seen_revision: Revision,
     /// Revision up to which it holds every published value.
@@ -60,14 +60,14 @@
     pub lists_digest: ListsDigest,
     /// Whether the sender cannot read the platform, or reads a replica that is behind, so that it
     /// depends on peers for what is published.
-    pub platform_lost: bool,
+    pub is_disconnected: bool,
     /// What it has seen and heard of the platform.
-    pub platform: PlatformWord,
+    pub platform: PlatformReport,
     /// Entries of its own failure domain that it takes to be live, itself included; zero when it
     /// does not say.
     pub domain_entries: u32,
     /// Whether its work waits for the processor.
-    pub behind: bool,
+    pub is_overloaded: bool,
     /// Crash records of requests that the sender reports.
     pub crash_reports: Vec<CrashReport>,
     /// Digest of the requests that the sender quarantines.
@@ -79,26 +79,26 @@
     /// Load of some targets; may be empty.
     pub loads: Vec<LoadHint>,
     /// Requests that the sender's VM could carry; zero when it does not say.
-    pub strength: PerSecond,
+    pub capacity: PerSecond,
 }
 
 /// What the sender of a heartbeat has seen and heard of the platform. Ages are passed on in place
 /// of points in time, so that no two clocks are compared.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct PlatformWord {
+pub struct PlatformReport {
     /// Time since the platform answered somebody; `None` when nobody is known to have been answered.
-    pub answered: Option<Duration>,
+    pub last_answer: Option<Duration>,
     /// Time since a reader of the platform was heard, whatever it said; `None` for never.
-    pub reader_heard: Option<Duration>,
+    pub reader_last_seen: Option<Duration>,
     /// Time for which it has answered nobody; `None` while it answers.
-    pub away: Option<Duration>,
+    pub outage: Option<Duration>,
 }
 
 /// What the sender of a heartbeat knows of a third VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PeerNews {
+pub struct PeerUpdate {
     /// The run that it is about.
-    pub about: PeerId,
+    pub peer: PeerId,
     /// The highest round known of that run.
     pub round: u32,
     /// What that run said of itself.
@@ -112,7 +112,7 @@
     /// Where peers connect to it.
     pub peers: Endpoint,
     /// Requests that its VM could carry; zero when it does not say.
-    pub strength: PerSecond,
+    pub capacity: PerSecond,
 }
 
 /// Load that a target reported to the sender.
@@ -134,7 +134,7 @@
     /// The changed values.
     pub values: Vec<ValueChange>,
     /// Whether these are all values, so that others do not exist any more.
-    pub whole: bool,
+    pub is_snapshot: bool,
     /// Further values, which are handed on together.
     pub bundle: Option<Bundle>,
 }
@@ -150,11 +150,11 @@
 
 /// A question for published values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ChangesAsked {
+pub struct ChangesRequest {
     /// Up to which revision all is known.
     pub after: Revision,
     /// Whether contents may come packed.
-    pub takes_packed: bool,
+    pub accepts_packed: bool,
 }
 
 /// One published value.
--- a/crates/peer/src/peer_config.rs
+++ b/crates/peer/src/peer_config.rs
@@ -18,7 +18,7 @@
     /// Size of one message; default 16 MiB.
     pub message_max: Bytes,
     /// Bytes read from a connection before the other side has proved the key; default 4 KiB.
-    pub unproven_max: Bytes,
+    pub unauthenticated_max: Bytes,
 }
 
 impl PeerConfig {
@@ -30,7 +30,7 @@
             bulk_timeout: Duration::from_secs(5),
             connections_max: 256,
             message_max: Bytes::from_mib(16),
-            unproven_max: Bytes::from_kib(4),
+            unauthenticated_max: Bytes::from_kib(4),
         }
     }
 }
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -19,7 +19,7 @@
 use crate::metered::Metered;
 use crate::peer_capnp as schema;
 use crate::wire;
-use crate::{ChangesAsked, PeerConfig, PeerHandler, PeerId, PeerKey};
+use crate::{ChangesRequest, PeerConfig, PeerHandler, PeerId, PeerKey};
 
 type CapnpResult = Result<(), Error>;
 
@@ -96,7 +96,7 @@
     }
     let gate = Gate::default();
     let (reader, writer) = Metered::new(stream.compat()).split();
-    let unproven_max_bytes = shared.config.unproven_max.value();
+    let unproven_max_bytes = shared.config.unauthenticated_max.value();
     let reader = GatedReader::new(reader, gate.clone(), unproven_max_bytes);
     let options = reader_options(&shared.config);
     let network = twoparty::VatNetwork::new(reader, writer, RpcSide::Server, options);
@@ -162,7 +162,7 @@
     ) -> CapnpResult {
         let proof = params.get()?.get_proof()?;
         if !self.shared.key.verifies(Side::Client, &self.talk, proof) {
-            self.shared.handler.refused(self.address);
+            self.shared.handler.handshake_rejected(self.address);
             return Ok(());
         }
         self.gate.open();
@@ -269,9 +269,9 @@
         mut results: schema::peer::ChangesResults,
     ) -> CapnpResult {
         let params = params.get()?;
-        let asked = ChangesAsked {
+        let asked = ChangesRequest {
             after: Revision::new(params.get_after()),
-            takes_packed: params.get_takes_packed(),
+            accepts_packed: params.get_takes_packed(),
         };
         let Some(changes) = self.handler.changes(asked).await else {
             return Err(Error::overloaded("hands on as much as the link bears".to_owned()));
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/wire.rs
@@ -18,7 +18,7 @@
 use crate::key::NONCE_BYTES;
 use crate::peer_capnp as schema;
 use crate::{
-    Bundle, Changes, Heartbeat, LoadHint, PeerError, PeerId, PeerNews, PeerState, PlatformWord,
+    Bundle, Changes, Heartbeat, LoadHint, PeerError, PeerId, PeerState, PeerUpdate, PlatformReport,
     ValueChange,
 };
 
@@ -133,18 +133,18 @@
     to.set_seen_revision(beat.seen_revision.value());
     to.set_synced_revision(beat.synced_revision.value());
     to.set_lists_digest(beat.lists_digest.value());
-    to.set_platform_lost(beat.platform_lost);
+    to.set_platform_lost(beat.is_disconnected);
     to.set_restart_safe(beat.restart_safe);
-    to.set_strength_per_s(beat.strength.value());
+    to.set_strength_per_s(beat.capacity.value());
     to.set_failure_domain(beat.failure_domain.as_str());
     to.set_callers(&beat.callers.to_string()[..]);
     to.set_peers(&beat.peers.to_string()[..]);
     to.set_round(beat.round);
-    to.set_platform_answered_ms(write_age(beat.platform.answered));
-    to.set_reader_heard_ms(write_age(beat.platform.reader_heard));
-    to.set_platform_away_ms(write_age(beat.platform.away));
+    to.set_platform_answered_ms(write_age(beat.platform.last_answer));
+    to.set_reader_heard_ms(write_age(beat.platform.reader_last_seen));
+    to.set_platform_away_ms(write_age(beat.platform.outage));
     to.set_domain_entries(beat.domain_entries);
-    to.set_behind(beat.behind);
+    to.set_behind(beat.is_overloaded);
     to.set_quarantine_digest(beat.quarantine_digest.value());
     if !beat.crash_reports.is_empty() {
         let mut all = to.reborrow().init_crash_reports(length(beat.crash_reports.len()));
@@ -158,9 +158,9 @@
             write_rate_limit(report, all.reborrow().get(index));
         }
     }
-    if !beat.news.is_empty() {
-        let mut all = to.reborrow().init_news(length(beat.news.len()));
-        for (index, news) in (0..).zip(&beat.news) {
+    if !beat.updates.is_empty() {
+        let mut all = to.reborrow().init_news(length(beat.updates.len()));
+        for (index, news) in (0..).zip(&beat.updates) {
             write_news(news, all.reborrow().get(index));
         }
     }
@@ -176,16 +176,16 @@
     }
 }
 
-fn write_news(news: &PeerNews, mut to: schema::news::Builder<'_>) {
-    to.set_vm(news.about.vm.as_str());
-    to.set_incarnation(news.about.incarnation.value());
+fn write_news(news: &PeerUpdate, mut to: schema::news::Builder<'_>) {
+    to.set_vm(news.peer.vm.as_str());
+    to.set_incarnation(news.peer.incarnation.value());
     to.set_round(news.round);
     to.set_state(write_state(news.state));
     to.set_suspected(news.suspected);
     to.set_failure_domain(news.failure_domain.as_str());
     to.set_callers(&news.callers.to_string()[..]);
     to.set_peers(&news.peers.to_string()[..]);
-    to.set_strength_per_s(news.strength.value());
+    to.set_strength_per_s(news.capacity.value());
 }
 
 fn write_crash_report(report: &CrashReport, mut to: schema::crash_report::Builder<'_>) {
@@ -256,37 +256,37 @@
         callers: from.get_callers()?.to_str()?.parse().map_err(invalid)?,
         peers: from.get_peers()?.to_str()?.parse().map_err(invalid)?,
         round: from.get_round(),
-        news: from.get_news()?.iter().map(read_news).collect::<Result<_>>()?,
+        updates: from.get_news()?.iter().map(read_news).collect::<Result<_>>()?,
         seen_revision: Revision::new(from.get_seen_revision()),
         synced_revision: Revision::new(from.get_synced_revision()),
         lists_digest: ListsDigest::new(from.get_lists_digest()),
-        platform_lost: from.get_platform_lost(),
-        platform: PlatformWord {
-            answered: read_age(from.get_platform_answered_ms()),
-            reader_heard: read_age(from.get_reader_heard_ms()),
-            away: read_age(from.get_platform_away_ms()),
+        is_disconnected: from.get_platform_lost(),
+        platform: PlatformReport {
+            last_answer: read_age(from.get_platform_answered_ms()),
+            reader_last_seen: read_age(from.get_reader_heard_ms()),
+            outage: read_age(from.get_platform_away_ms()),
         },
         domain_entries: from.get_domain_entries(),
-        behind: from.get_behind(),
+        is_overloaded: from.get_behind(),
         crash_reports: from.get_crash_reports()?.iter().map(read_crash_report).collect(),
         quarantine_digest: QuarantineDigest::new(from.get_quarantine_digest()),
         rate_limits: from.get_rate_limits()?.iter().map(read_rate_limit).collect::<Result<_>>()?,
         restart_safe: from.get_restart_safe(),
         loads: from.get_loads()?.iter().map(read_load).collect::<Result<_>>()?,
-        strength: PerSecond::new(from.get_strength_per_s()),
+        capacity: PerSecond::new(from.get_strength_per_s()),
     })
 }
 
-fn read_news(from: schema::news::Reader<'_>) -> Result<PeerNews> {
-    Ok(PeerNews {
-        about: peer_id(from.get_vm()?, from.get_incarnation())?,
+fn read_news(from: schema::news::Reader<'_>) -> Result<PeerUpdate> {
+    Ok(PeerUpdate {
+        peer: peer_id(from.get_vm()?, from.get_incarnation())?,
         round: from.get_round(),
         state: read_state(from.get_state()?),
         suspected: from.get_suspected(),
         failure_domain: from.get_failure_domain()?.to_str()?.parse().map_err(invalid)?,
         callers: from.get_callers()?.to_str()?.parse().map_err(invalid)?,
         peers: from.get_peers()?.to_str()?.parse().map_err(invalid)?,
-        strength: PerSecond::new(from.get_strength_per_s()),
+        capacity: PerSecond::new(from.get_strength_per_s()),
     })
 }
 
@@ -298,7 +298,7 @@
 
 pub(crate) fn write_changes(changes: &Changes, mut to: schema::changes::Builder<'_>) {
     to.set_revision(changes.revision.value());
-    to.set_whole(changes.whole);
+    to.set_whole(changes.is_snapshot);
     if let Some(bundle) = &changes.bundle {
         to.set_bundle(&bundle.content);
         to.set_unpacked_bundle_bytes(unpacked_bytes(bundle.unpacked_size));
@@ -349,7 +349,7 @@
             unpacked_size: Bytes::new(u64::from(bytes)),
         }),
     };
-    Ok(Changes { revision, values, whole: from.get_whole(), bundle })
+    Ok(Changes { revision, values, is_snapshot: from.get_whole(), bundle })
 }
 
 fn unpacked_bytes(size: Bytes) -> u32 {
--- a/crates/peer/tests/peer.rs
+++ b/crates/peer/tests/peer.rs
@@ -14,8 +14,8 @@
     LedgerPart, OnceConfig, OperationId, Secret, Session,
 };
 use shallotfork_peer::{
-    Bundle, Changes, ChangesAsked, Heartbeat, LoadHint, PeerClient, PeerConfig, PeerError,
-    PeerHandler, PeerId, PeerKey, PeerNews, PeerServer, PeerState, PlatformWord, ValueChange,
+    Bundle, Changes, ChangesRequest, Heartbeat, LoadHint, PeerClient, PeerConfig, PeerError,
+    PeerHandler, PeerId, PeerKey, PeerServer, PeerState, PeerUpdate, PlatformReport, ValueChange,
     encode_values,
 };
 use shallotfork_quarantine::{CrashReport, QuarantineDigest, RequestFingerprint};
@@ -50,7 +50,7 @@
 }
 
 impl PeerHandler for Fake {
-    fn refused(&self, _from: SocketAddr) {
+    fn handshake_rejected(&self, _from: SocketAddr) {
         self.refused.set(self.refused.get() + 1);
     }
 
@@ -94,7 +94,7 @@
         Some(self.session.clone())
     }
 
-    async fn changes(&self, asked: ChangesAsked) -> Option<Changes> {
+    async fn changes(&self, asked: ChangesRequest) -> Option<Changes> {
         self.note(format!("changes after {}", asked.after));
         self.changes.clone()
     }
@@ -177,7 +177,12 @@
         content: encode_values(std::slice::from_ref(&value)),
         unpacked_size: Bytes::new(900),
     };
-    Changes { revision: Revision::new(8), values: vec![value], whole: true, bundle: Some(bundle) }
+    Changes {
+        revision: Revision::new(8),
+        values: vec![value],
+        is_snapshot: true,
+        bundle: Some(bundle),
+    }
 }
 
 fn kept() -> Arc<KeptAnswer> {
@@ -185,16 +190,16 @@
     Arc::new(KeptAnswer { status: 201, headers: vec![header], body: b"order 1".to_vec() })
 }
 
-fn news() -> PeerNews {
-    PeerNews {
-        about: PeerId::new(VmId::new("vm-9").unwrap(), Incarnation::new(9)),
+fn news() -> PeerUpdate {
+    PeerUpdate {
+        peer: PeerId::new(VmId::new("vm-9").unwrap(), Incarnation::new(9)),
         round: 2,
         state: PeerState::Live,
         suspected: true,
         failure_domain: "coolgardie".parse().unwrap(),
         callers: "127.0.0.1:9080".parse().unwrap(),
         peers: "127.0.0.1:9081".parse().unwrap(),
-        strength: PerSecond::new(900),
+        capacity: PerSecond::new(900),
     }
 }
 
@@ -220,18 +225,18 @@
         callers: "127.0.0.1:8080".parse().unwrap(),
         peers: "127.0.0.1:8081".parse().unwrap(),
         round: 3,
-        news: vec![news()],
+        updates: vec![news()],
         seen_revision: Revision::new(9),
         synced_revision: Revision::new(8),
         lists_digest: ListsDigest::new(7),
-        platform_lost: true,
-        platform: PlatformWord {
-            answered: Some(Duration::from_millis(70)),
-            reader_heard: Some(Duration::ZERO),
-            away: None,
+        is_disconnected: true,
+        platform: PlatformReport {
+            last_answer: Some(Duration::from_millis(70)),
+            reader_last_seen: Some(Duration::ZERO),
+            outage: None,
         },
         domain_entries: 12,
-        behind: true,
+        is_overloaded: true,
         crash_reports: vec![crash_report(Some(Duration::from_millis(20))), crash_report(None)],
         quarantine_digest: QuarantineDigest::new(11),
         rate_limits: vec![
@@ -241,7 +246,7 @@
         ],
         restart_safe: true,
         loads: vec![LoadHint { target, load: Permille::new(1200), age_ms: 40 }],
-        strength: PerSecond::new(700),
+        capacity: PerSecond::new(700),
     }
 }
 
@@ -365,7 +370,7 @@
         let config = PeerConfig {
             handshake_timeout: Duration::from_millis(200),
             connections_max: 4,
-            unproven_max: Bytes::new(1024),
+            unauthenticated_max: Bytes::new(1024),
             ..PeerConfig::new()
         };
         let setup = Setup::with_config(config).await;
--- a/crates/peer/tests/stranger.rs
+++ b/crates/peer/tests/stranger.rs
@@ -12,7 +12,7 @@
     ClaimAnswer, ClaimId, Completion, CompletionAnswer, LedgerPart, OperationId, Session,
 };
 use shallotfork_peer::{
-    Changes, ChangesAsked, Heartbeat, PeerConfig, PeerHandler, PeerId, PeerKey, PeerServer,
+    Changes, ChangesRequest, Heartbeat, PeerConfig, PeerHandler, PeerId, PeerKey, PeerServer,
 };
 use shallotfork_types::{Incarnation, VmId};
 use tokio::net::{TcpListener, TcpStream};
@@ -30,7 +30,7 @@
 }
 
 impl PeerHandler for Closed {
-    fn refused(&self, _from: SocketAddr) {
+    fn handshake_rejected(&self, _from: SocketAddr) {
         self.refused.set(self.refused.get() + 1);
     }
 
@@ -63,7 +63,7 @@
         unreachable!("issue to a stranger")
     }
 
-    async fn changes(&self, _asked: ChangesAsked) -> Option<Changes> {
+    async fn changes(&self, _asked: ChangesRequest) -> Option<Changes> {
         unreachable!("changes to a stranger")
     }
 
--- a/crates/shallotd/src/control/lists_pull.rs
+++ b/crates/shallotd/src/control/lists_pull.rs
@@ -102,7 +102,7 @@
         return Ok(());
     }
     let values = outranked.into_iter().map(value_change).collect();
-    client.push(&Changes { revision, values, whole: false, bundle: None }).await
+    client.push(&Changes { revision, values, is_snapshot: false, bundle: None }).await
 }
 
 /// A published list as a peer's value.
--- a/crates/shallotd/src/control/members.rs
+++ b/crates/shallotd/src/control/members.rs
@@ -7,7 +7,7 @@
 use shallotfork_membership::{
     Announcement, EntryState, EntryVm, ListedVm, MemberUpdate, heartbeat_peers,
 };
-use shallotfork_peer::{Heartbeat, PeerId, PeerNews, PeerState, PlatformWord};
+use shallotfork_peer::{Heartbeat, PeerId, PeerState, PeerUpdate, PlatformReport};
 use shallotfork_timer::{Schedule, TimerService};
 use shallotfork_types::PerSecond;
 
@@ -116,27 +116,27 @@
         callers: identity.callers,
         peers: identity.peers,
         round: view.own_round(),
-        news: view.take_due_updates().into_iter().map(peer_news).collect(),
+        updates: view.take_due_updates().into_iter().map(peer_news).collect(),
         seen_revision: lists.cursor.highest_revision(),
         synced_revision: lists.cursor.synced_revision(),
         lists_digest: lists.digest(),
-        platform_lost: state.platform_lost.get(),
-        platform: PlatformWord::default(),
+        is_disconnected: state.platform_lost.get(),
+        platform: PlatformReport::default(),
         domain_entries: 0,
         crash_reports: Vec::new(),
         rate_limits: Vec::new(),
         quarantine_digest: Default::default(),
-        behind: false,
+        is_overloaded: false,
         restart_safe: state.ledger.borrow().running() == 0,
         loads: Vec::new(),
         // Entries of one fleet of this kind are all alike.
-        strength: PerSecond::default(),
+        capacity: PerSecond::default(),
     }
 }
 
 fn note_blind(state: &State, peer: &PeerId, beat: &Heartbeat) {
     let mut blind = state.blind.borrow_mut();
-    if beat.platform_lost {
+    if beat.is_disconnected {
         blind.insert(peer.vm.clone());
     } else {
         blind.remove(&peer.vm);
@@ -155,30 +155,30 @@
 }
 
 /// News as it is carried to other entries.
-pub fn peer_news(news: MemberUpdate) -> PeerNews {
+pub fn peer_news(news: MemberUpdate) -> PeerUpdate {
     let Announcement { listed, incarnation, round } = news.about;
-    PeerNews {
+    PeerUpdate {
         state: peer_state(listed.leaving),
-        about: PeerId::new(listed.vm, incarnation),
+        peer: PeerId::new(listed.vm, incarnation),
         round,
         suspected: news.suspected,
         failure_domain: listed.failure_domain,
         callers: listed.callers,
         peers: listed.peers,
-        strength: listed.capacity,
+        capacity: listed.capacity,
     }
 }
 
-fn news(told: &PeerNews) -> MemberUpdate {
+fn news(told: &PeerUpdate) -> MemberUpdate {
     let listed = ListedVm {
-        vm: told.about.vm.clone(),
+        vm: told.peer.vm.clone(),
         failure_domain: told.failure_domain.clone(),
         callers: told.callers,
         peers: told.peers,
         leaving: told.state == PeerState::Leaving,
-        capacity: told.strength,
+        capacity: told.capacity,
     };
-    let incarnation = told.about.incarnation;
+    let incarnation = told.peer.incarnation;
     let about = Announcement { listed, incarnation, round: told.round };
     MemberUpdate { about, suspected: told.suspected }
 }
@@ -198,13 +198,13 @@
         callers: beat.callers,
         peers: beat.peers,
         leaving: beat.state == PeerState::Leaving,
-        capacity: beat.strength,
+        capacity: beat.capacity,
     };
     let from = Announcement { listed, incarnation: peer.incarnation, round: beat.round };
     let now = state.context.clock.now();
     let mut view = state.view.borrow_mut();
     view.receive_heartbeat(&from, now);
-    for told in &beat.news {
+    for told in &beat.updates {
         view.receive_update(&news(told), now);
     }
     drop(view);
--- a/crates/shallotd/src/control/peer_calls.rs
+++ b/crates/shallotd/src/control/peer_calls.rs
@@ -7,7 +7,7 @@
 use shallotfork_once::{
     ClaimAnswer, ClaimId, Completion, CompletionAnswer, LedgerPart, OperationId, Session,
 };
-use shallotfork_peer::{Changes, ChangesAsked, Heartbeat, PeerHandler, PeerId};
+use shallotfork_peer::{Changes, ChangesRequest, Heartbeat, PeerHandler, PeerId};
 
 use crate::control::lists_pull::{published, pull_lists_from, value_change};
 use crate::control::lists_source::ListSource;
@@ -29,7 +29,7 @@
 }
 
 impl PeerHandler for PeerCalls {
-    fn refused(&self, from: SocketAddr) {
+    fn handshake_rejected(&self, from: SocketAddr) {
         event!(self.state.context.log, PEER_REFUSED, "from" => from.to_string());
     }
 
@@ -37,7 +37,7 @@
         heard(&self.state, from, &beat);
         let mut own = own_heartbeat(&self.state);
         let suspicion = self.state.view.borrow().suspicion_of(&from.vm);
-        own.news.extend(suspicion.map(peer_news));
+        own.updates.extend(suspicion.map(peer_news));
         tokio::task::spawn_local(pull_lists_from(Rc::clone(&self.state), from.clone(), beat));
         own
     }
@@ -79,13 +79,13 @@
         self.state.ledger.borrow_mut().issue(now)
     }
 
-    async fn changes(&self, asked: ChangesAsked) -> Option<Changes> {
+    async fn changes(&self, asked: ChangesRequest) -> Option<Changes> {
         let lists = self.state.lists.borrow();
         let values = lists.newer_than(asked.after).into_iter().map(value_change).collect();
         Some(Changes {
             revision: lists.cursor.synced_revision(),
             values,
-            whole: false,
+            is_snapshot: false,
             bundle: None,
         })
     }
