--- a/crates/peer/examples/peer_cost.rs
+++ b/crates/peer/examples/peer_cost.rs
@@ -1,8 +1,8 @@
-//! Prints what heartbeats and claims cost: bytes on the wire and processor time of both ends.
+//! Measures the cost of heartbeats and claims: bytes on the wire and CPU time of both ends.
 //!
-//! `cargo run --release -p shallotfork-peer --example peer_cost`. Both ends run in this process, so the
-//! processor time is the sum of client and server; the ledger behind them is the real one. Bytes
-//! are TCP payload, counted by a relay between the two in a run of its own.
+//! Run it with `cargo run --release -p shallotfork-peer --example peer_cost`. Client and server run
+//! in this process, so the CPU time is the sum of both; the server uses the production ledger.
+//! Bytes are TCP payload, counted in a separate run by a relay between client and server.
 
 use std::cell::{Cell, RefCell};
 use std::error::Error;
@@ -27,9 +27,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-type Outcome<T> = Result<T, Box<dyn Error>>;
+type BenchResult<T> = Result<T, Box<dyn Error>>;
 
-const CALLS: u64 = 20_000;
+const DIRECT_CALLS: u64 = 20_000;
 const RELAYED_CALLS: u64 = 200;
 const KEY: [u8; 32] = [1; 32];
 
@@ -40,8 +40,8 @@
 impl PeerHandler for Entry {
     fn handshake_rejected(&self, _from: SocketAddr) {}
 
-    async fn heartbeat(&self, _from: &PeerId, beat: Heartbeat) -> Heartbeat {
-        beat
+    async fn heartbeat(&self, _from: &PeerId, heartbeat: Heartbeat) -> Heartbeat {
+        heartbeat
     }
 
     async fn claim(&self, operation: OperationId, claim: ClaimId) -> ClaimAnswer {
@@ -69,9 +69,9 @@
         Some(self.issuer.borrow_mut().issue(Mono::ZERO))
     }
 
-    async fn changes(&self, asked: ChangesRequest) -> Option<Changes> {
+    async fn changes(&self, request: ChangesRequest) -> Option<Changes> {
         Some(Changes {
-            revision: asked.after,
+            revision: request.after,
             values: Vec::new(),
             is_snapshot: false,
             bundle: None,
@@ -85,33 +85,33 @@
     }
 }
 
-fn main() -> Outcome<()> {
+fn main() -> BenchResult<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     tokio::task::LocalSet::new().block_on(&runtime, measure())
 }
 
-async fn measure() -> Outcome<()> {
+async fn measure() -> BenchResult<()> {
     let server = serve().await?;
-    let passed_bytes = Rc::new(Cell::new(0));
-    let relay = relay(server, Rc::clone(&passed_bytes)).await?;
+    let relayed_bytes = Rc::new(Cell::new(0));
+    let relay = relay(server, Rc::clone(&relayed_bytes)).await?;
 
     let relayed = connect(relay).await?;
-    println!("handshake: {} B, both directions together", passed_bytes.get());
+    println!("handshake: {} B in both directions", relayed_bytes.get());
     for call in [Call::Heartbeat, Call::Claim, Call::Complete] {
-        let before = passed_bytes.get();
-        repeat(&relayed, call, RELAYED_CALLS).await?;
-        let each = (passed_bytes.get() - before) / RELAYED_CALLS;
-        println!("{call:?}: {each} B a call, both directions together");
+        let bytes_before = relayed_bytes.get();
+        repeat_call(&relayed, call, RELAYED_CALLS).await?;
+        let bytes_per_call = (relayed_bytes.get() - bytes_before) / RELAYED_CALLS;
+        println!("{call:?}: {bytes_per_call} B per call in both directions");
     }
 
     let direct = connect(server).await?;
     for call in [Call::Heartbeat, Call::Claim, Call::Complete] {
-        repeat(&direct, call, CALLS / 10).await?;
-        let (cpu, wall) = (processor_time(), Instant::now());
-        repeat(&direct, call, CALLS).await?;
-        let cpu_us = (processor_time() - cpu).as_secs_f64() * 1e6 / CALLS as f64;
-        let wall_us = wall.elapsed().as_secs_f64() * 1e6 / CALLS as f64;
-        println!("{call:?}: {cpu_us:.1} us processor time of both ends, {wall_us:.1} us a call");
+        repeat_call(&direct, call, DIRECT_CALLS / 10).await?;
+        let (cpu_before, started_at) = (process_cpu_time(), Instant::now());
+        repeat_call(&direct, call, DIRECT_CALLS).await?;
+        let cpu_us = (process_cpu_time() - cpu_before).as_secs_f64() * 1e6 / DIRECT_CALLS as f64;
+        let wall_us = started_at.elapsed().as_secs_f64() * 1e6 / DIRECT_CALLS as f64;
+        println!("{call:?}: {cpu_us:.1} us CPU time of both ends, {wall_us:.1} us per call");
     }
     Ok(())
 }
@@ -123,7 +123,7 @@
     Complete,
 }
 
-async fn repeat(client: &PeerClient, call: Call, count: u64) -> Outcome<()> {
+async fn repeat_call(client: &PeerClient, call: Call, count: u64) -> BenchResult<()> {
     let session = client.issue().await?.ok_or("no session")?;
     for number in 0..count {
         let key = IdempotencyKey::new(&format!("order-{call:?}-{number:012}"))?;
@@ -142,7 +142,7 @@
     Ok(())
 }
 
-fn heartbeat() -> Outcome<Heartbeat> {
+fn heartbeat() -> BenchResult<Heartbeat> {
     Ok(Heartbeat {
         state: PeerState::Live,
         failure_domain: FailureDomain::new("kalgoorlie")?,
@@ -166,7 +166,7 @@
     })
 }
 
-async fn serve() -> Outcome<Endpoint> {
+async fn serve() -> BenchResult<Endpoint> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let endpoint = Endpoint::new(listener.local_addr()?);
     let config = OnceConfig {
@@ -182,13 +182,13 @@
     Ok(endpoint)
 }
 
-async fn connect(endpoint: Endpoint) -> Outcome<PeerClient> {
+async fn connect(endpoint: Endpoint) -> BenchResult<PeerClient> {
     let id = PeerId::new(VmId::new("kalgoorlie-4")?, Incarnation::new(2));
     Ok(PeerClient::connect(endpoint, &PeerKey::new(&KEY)?, &id, &PeerConfig::new()).await?)
 }
 
-/// Passes one connection on and counts the bytes of both directions.
-async fn relay(to: Endpoint, passed_bytes: Rc<Cell<u64>>) -> Outcome<Endpoint> {
+/// Relays one connection and counts the bytes of both directions.
+async fn relay(to: Endpoint, relayed_bytes: Rc<Cell<u64>>) -> BenchResult<Endpoint> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let endpoint = Endpoint::new(listener.local_addr()?);
     tokio::task::spawn_local(async move {
@@ -196,17 +196,17 @@
         let server = TcpStream::connect(to.address()).await?;
         let (client_read, client_write) = client.into_split();
         let (server_read, server_write) = server.into_split();
-        let there = pass(client_read, server_write, Rc::clone(&passed_bytes));
-        let back = pass(server_read, client_write, passed_bytes);
-        tokio::try_join!(there, back)
+        let to_server = copy_counted(client_read, server_write, Rc::clone(&relayed_bytes));
+        let to_client = copy_counted(server_read, client_write, relayed_bytes);
+        tokio::try_join!(to_server, to_client)
     });
     Ok(endpoint)
 }
 
-async fn pass(
+async fn copy_counted(
     mut from: impl AsyncReadExt + Unpin,
     mut to: impl AsyncWriteExt + Unpin,
-    passed_bytes: Rc<Cell<u64>>,
+    relayed_bytes: Rc<Cell<u64>>,
 ) -> std::io::Result<()> {
     let mut buffer = [0; 4096];
     loop {
@@ -214,12 +214,12 @@
         if count == 0 {
             return Ok(());
         }
-        passed_bytes.set(passed_bytes.get() + count as u64);
+        relayed_bytes.set(relayed_bytes.get() + count as u64);
         to.write_all(&buffer[..count]).await?;
     }
 }
 
-fn processor_time() -> Duration {
+fn process_cpu_time() -> Duration {
     let time = clock_gettime(ClockId::ProcessCPUTime);
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec as u32)
 }
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls a peer over one connection.
+//! Client for calls to a peer over one connection.
 
 use std::cell::Cell;
 use std::fmt;
@@ -17,72 +17,75 @@
 use tokio::task::JoinHandle;
 use tokio_util::compat::TokioAsyncReadCompatExt as _;
 
-use crate::key::{Handshake, Side, draw_nonce};
-use crate::metered::Metered;
+use crate::key::{HandshakeTranscript, Side, generate_nonce};
+use crate::metered::MeteredStream;
 use crate::peer_capnp as schema;
 use crate::server::reader_options;
 use crate::wire;
 use crate::{Changes, Heartbeat, PeerConfig, PeerError, PeerId, PeerKey};
 
-/// A connection to a peer on which both sides have proved the shared key.
+/// Connection to a peer on which both sides have proved the shared key.
 ///
-/// Calls may overlap. Dropping the client closes the connection; a broken one is never mended:
-/// the caller makes a new client.
+/// Calls may run concurrently. Dropping the client closes the connection. A lost connection is not
+/// reopened: create a new client instead.
 pub struct PeerClient {
-    calls: schema::peer::Client,
+    remote: schema::peer::Client,
     peer: PeerId,
     config: PeerConfig,
-    driver: Driver,
-    /// Bytes of both directions since the connection was opened.
-    carried: Rc<Cell<u64>>,
+    connection: ConnectionTask,
+    /// Bytes transferred in both directions since the connection was opened.
+    transferred_bytes: Rc<Cell<u64>>,
     received_bytes: Rc<Cell<u64>>,
-    /// Of these, what has been taken account of.
-    taken: Cell<u64>,
+    /// Part of `transferred_bytes` that `take_transferred_bytes` has already returned.
+    taken_bytes: Cell<u64>,
 }
 
 impl PeerClient {
-    /// Connects and proves the key in both directions; must run within a `LocalSet`.
+    /// Opens a connection and authenticates both sides; must run within a `LocalSet`.
     ///
     /// # Errors
-    /// [`PeerError::Refused`] when either side does not prove the key, else as for any call.
+    /// Returns [`PeerError::Refused`] if either side does not prove the key, or another error if
+    /// the handshake fails or does not complete before the timeout.
     pub async fn connect(
         endpoint: Endpoint,
         key: &PeerKey,
         own_id: &PeerId,
         config: &PeerConfig,
     ) -> Result<Self, PeerError> {
-        within(config.handshake_timeout, shake_hands(endpoint, key, own_id, config)).await
+        with_timeout(config.handshake_timeout, perform_handshake(endpoint, key, own_id, config))
+            .await
     }
 
-    /// The process at the other end, as proved by the handshake.
+    /// Returns the identity of the peer, as authenticated by the handshake.
     pub fn peer(&self) -> &PeerId {
         &self.peer
     }
 
-    /// Bytes that the connection has carried in both directions since the last call of this.
+    /// Returns the bytes transferred in both directions since the previous call of this method.
     pub fn take_transferred_bytes(&self) -> u64 {
-        let carried = self.carried.get();
-        carried - self.taken.replace(carried)
+        let transferred_bytes = self.transferred_bytes.get();
+        transferred_bytes - self.taken_bytes.replace(transferred_bytes)
     }
 
-    /// Bytes received since the connection was opened; they grow while an answer comes.
+    /// Returns the bytes received since the connection was opened, including those of a response
+    /// that is still being received.
     pub fn received_bytes(&self) -> u64 {
         self.received_bytes.get()
     }
 
-    /// Whether the connection has broken.
+    /// Returns whether the connection is closed.
     pub fn is_closed(&self) -> bool {
-        self.driver.0.is_finished()
+        self.connection.0.is_finished()
     }
 
-    /// Exchanges heartbeats.
+    /// Sends a heartbeat and returns the heartbeat of the peer.
     ///
     /// # Errors
-    /// When no valid answer comes in time.
-    pub async fn heartbeat(&self, beat: &Heartbeat) -> Result<Heartbeat, PeerError> {
-        let mut request = self.calls.heartbeat_request();
-        wire::write_heartbeat(beat, request.get().init_heartbeat());
-        within(self.config.call_timeout, async {
+    /// Returns an error if no valid response arrives before the timeout.
+    pub async fn heartbeat(&self, heartbeat: &Heartbeat) -> Result<Heartbeat, PeerError> {
+        let mut request = self.remote.heartbeat_request();
+        wire::write_heartbeat(heartbeat, request.get().init_heartbeat());
+        with_timeout(self.config.call_timeout, async {
             let response = request.send().promise.await?;
             Ok(wire::read_heartbeat(response.get()?.get_heartbeat()?)?)
         })
@@ -92,139 +95,144 @@
     /// Claims an operation of a session that the peer issued.
     ///
     /// # Errors
-    /// When no valid answer comes in time; the peer may have granted the claim all the same.
+    /// Returns an error if no valid response arrives before the timeout; the peer may still have
+    /// granted the claim.
     pub async fn claim(
         &self,
         operation: &OperationId,
         number: u64,
     ) -> Result<ClaimAnswer, PeerError> {
-        let mut request = self.calls.claim_request();
+        let mut request = self.remote.claim_request();
         wire::write_operation(operation, request.get().init_operation());
         request.get().set_number(number);
-        within(self.config.call_timeout, async {
+        with_timeout(self.config.call_timeout, async {
             let response = request.send().promise.await?;
-            Ok(wire::read_answer(response.get()?.get_answer()?)?)
+            Ok(wire::read_claim_answer(response.get()?.get_answer()?)?)
         })
         .await
     }
 
-    /// Reports the end of an operation granted to this process under `number`.
+    /// Reports the completion of an operation granted to this process under `number`.
     ///
     /// # Errors
-    /// When no valid answer comes in time; the peer may have recorded the end all the same.
+    /// Returns an error if no valid response arrives before the timeout; the peer may still have
+    /// recorded the completion.
     pub async fn complete(
         &self,
         operation: &OperationId,
         number: u64,
         completion: &Completion,
     ) -> Result<CompletionAnswer, PeerError> {
-        let mut request = self.calls.complete_request();
+        let mut request = self.remote.complete_request();
         wire::write_operation(operation, request.get().init_operation());
         request.get().set_number(number);
         wire::write_completion(completion, request.get().init_completion());
-        within(self.config.call_timeout, async {
+        with_timeout(self.config.call_timeout, async {
             let response = request.send().promise.await?;
-            Ok(recorded(response.get()?.get_recorded()))
+            Ok(completion_answer(response.get()?.get_recorded()))
         })
         .await
     }
 
-    /// Makes sure that an operation never runs, unless it was granted to somebody else.
+    /// Ensures that an operation never runs, unless it was granted to another process.
     ///
     /// # Errors
-    /// When no valid answer comes in time; the operation may still run elsewhere.
+    /// Returns an error if no valid response arrives before the timeout; the operation may still
+    /// run elsewhere.
     pub async fn close(
         &self,
         operation: &OperationId,
         number: u64,
     ) -> Result<ClaimAnswer, PeerError> {
-        let mut request = self.calls.close_request();
+        let mut request = self.remote.close_request();
         wire::write_operation(operation, request.get().init_operation());
         request.get().set_number(number);
-        within(self.config.call_timeout, async {
+        with_timeout(self.config.call_timeout, async {
             let response = request.send().promise.await?;
-            Ok(wire::read_answer(response.get()?.get_answer()?)?)
+            Ok(wire::read_claim_answer(response.get()?.get_answer()?)?)
         })
         .await
     }
 
-    /// Asks the peer's archive; `None` when it does not hold the issuer's ledger.
+    /// Looks up an operation in the peer's archive; `None` if the archive does not hold the
+    /// issuer's ledger.
     ///
     /// # Errors
-    /// When no valid answer comes in time.
+    /// Returns an error if no valid response arrives before the timeout.
     pub async fn lookup(&self, operation: &OperationId) -> Result<Option<ClaimAnswer>, PeerError> {
-        let mut request = self.calls.lookup_request();
+        let mut request = self.remote.lookup_request();
         wire::write_operation(operation, request.get().init_operation());
-        within(self.config.call_timeout, async {
+        with_timeout(self.config.call_timeout, async {
             let response = request.send().promise.await?;
             let results = response.get()?;
             if !results.get_held() {
                 return Ok(None);
             }
-            Ok(Some(wire::read_answer(results.get_answer()?)?))
+            Ok(Some(wire::read_claim_answer(results.get_answer()?)?))
         })
         .await
     }
 
-    /// Asks for a session that the peer issues; `None` when it issues none now.
+    /// Requests a session from the peer; `None` if the peer currently issues none.
     ///
     /// # Errors
-    /// When no valid answer comes in time.
+    /// Returns an error if no valid response arrives before the timeout.
     pub async fn issue(&self) -> Result<Option<Session>, PeerError> {
-        let request = self.calls.issue_request();
-        within(self.config.call_timeout, async {
+        let request = self.remote.issue_request();
+        with_timeout(self.config.call_timeout, async {
             let response = request.send().promise.await?;
             let results = response.get()?;
             if !results.has_session() {
                 return Ok(None);
             }
             let text = results.get_session()?.to_str().map_err(capnp::Error::from)?;
-            Ok(Some(text.parse().map_err(wire::invalid)?))
+            Ok(Some(text.parse().map_err(wire::to_capnp_error)?))
         })
         .await
     }
 
-    /// Fetches the published values changed after a revision; contents may come packed.
+    /// Fetches the published values that changed after a revision; the response may contain packed
+    /// values.
     ///
     /// # Errors
-    /// [`PeerError::Busy`] when the peer hands on as much as it can, else when no valid answer comes in
-    /// time.
+    /// Returns [`PeerError::Busy`] if the peer has reached its limit for forwarding published
+    /// values, or another error if no valid response arrives before the timeout.
     pub async fn changes(&self, after: Revision) -> Result<Changes, PeerError> {
-        let mut request = self.calls.changes_request();
+        let mut request = self.remote.changes_request();
         request.get().set_after(after.value());
         request.get().set_takes_packed(true);
-        within(self.config.bulk_timeout, async {
+        with_timeout(self.config.bulk_timeout, async {
             let response = request.send().promise.await?;
             Ok(wire::read_changes(response.get()?.get_changes()?)?)
         })
         .await
     }
 
-    /// Offers published values.
+    /// Offers published values to the peer.
     ///
     /// # Errors
-    /// When the peer does not say in time that it has taken them.
+    /// Returns an error if the peer does not confirm their receipt before the timeout.
     pub async fn push(&self, changes: &Changes) -> Result<(), PeerError> {
-        let mut request = self.calls.push_request();
+        let mut request = self.remote.push_request();
         wire::write_changes(changes, request.get().init_changes());
-        within(self.config.bulk_timeout, async {
+        with_timeout(self.config.bulk_timeout, async {
             request.send().promise.await?;
             Ok(())
         })
         .await
     }
 
-    /// Leaves a part of a sealed ledger with the peer; `false` when it cannot be kept
-    /// there.
+    /// Transfers a part of a sealed ledger to the peer; `false` if the peer cannot store it.
     ///
     /// # Errors
-    /// When no valid answer comes in time; the peer may hold the part all the same.
+    /// Returns an error if no valid response arrives before the timeout; the peer may still have
+    /// stored the part.
     pub async fn handoff(&self, part: &LedgerPart) -> Result<bool, PeerError> {
-        let mut request = self.calls.handoff_request();
+        let mut request = self.remote.handoff_request();
         wire::write_ledger(&part.ledger, request.get().init_ledger());
         request.get().set_index(part.index);
         request.get().set_count(part.count);
-        within(self.config.bulk_timeout, async {
+        with_timeout(self.config.bulk_timeout, async {
             let response = request.send().promise.await?;
             Ok(response.get()?.get_accepted())
         })
@@ -238,18 +246,18 @@
     }
 }
 
-fn recorded(recorded: bool) -> CompletionAnswer {
-    if recorded { CompletionAnswer::Recorded } else { CompletionAnswer::Ignored }
+fn completion_answer(is_recorded: bool) -> CompletionAnswer {
+    if is_recorded { CompletionAnswer::Recorded } else { CompletionAnswer::Ignored }
 }
 
-async fn within<T>(
+async fn with_timeout<T>(
     timeout: Duration,
     call: impl Future<Output = Result<T, PeerError>>,
 ) -> Result<T, PeerError> {
     tokio::time::timeout(timeout, call).await.unwrap_or(Err(PeerError::TimedOut))
 }
 
-async fn shake_hands(
+async fn perform_handshake(
     endpoint: Endpoint,
     key: &PeerKey,
     own_id: &PeerId,
@@ -258,50 +266,59 @@
     let unreachable = |error: std::io::Error| PeerError::Unreachable(error.to_string());
     let stream = TcpStream::connect(endpoint.address()).await.map_err(unreachable)?;
     stream.set_nodelay(true).map_err(unreachable)?;
-    let metered = Metered::new(stream.compat());
-    let carried = metered.carried();
+    let metered = MeteredStream::new(stream.compat());
+    let transferred_bytes = metered.transferred_bytes();
     let received_bytes = metered.received_bytes();
     let (reader, writer) = metered.split();
     let options = reader_options(config);
     let network = twoparty::VatNetwork::new(reader, writer, RpcSide::Client, options);
     let mut rpc = RpcSystem::new(Box::new(network), None);
     let bootstrap: schema::bootstrap::Client = rpc.bootstrap(RpcSide::Server);
-    let driver = Driver(tokio::task::spawn_local(async move {
-        // Calls in flight fail with the reason; nothing else waits for this result.
+    let connection = ConnectionTask(tokio::task::spawn_local(async move {
+        // Calls in flight report the error; nothing else needs this result.
         let _ = rpc.await;
     }));
-    let client_nonce = draw_nonce();
+    let client_nonce = generate_nonce();
     let mut request = bootstrap.challenge_request();
     request.get().set_nonce(&client_nonce);
     request.get().set_vm(own_id.vm.as_str());
     request.get().set_incarnation(own_id.incarnation.value());
     let response = request.send().promise.await?;
     let results = response.get()?;
-    let peer = wire::peer_id(results.get_vm()?, results.get_incarnation())?;
-    let talk = Handshake {
+    let peer = wire::read_peer_id(results.get_vm()?, results.get_incarnation())?;
+    let transcript = HandshakeTranscript {
         client: own_id.clone(),
         server: peer.clone(),
         client_nonce,
-        server_nonce: wire::nonce(results.get_nonce()?)?,
+        server_nonce: wire::read_nonce(results.get_nonce()?)?,
     };
-    if !key.verifies(Side::Server, &talk, results.get_proof()?) {
+    if !key.is_valid_proof(Side::Server, &transcript, results.get_proof()?) {
         return Err(PeerError::Refused);
     }
     let mut request = results.get_handshake()?.prove_request();
-    request.get().set_proof(&key.proof(Side::Client, &talk));
+    request.get().set_proof(&key.proof(Side::Client, &transcript));
     let response = request.send().promise.await?;
     if !response.get()?.has_peer() {
         return Err(PeerError::Refused);
     }
-    let calls = response.get()?.get_peer()?;
-    let (config, taken) = (config.clone(), Cell::new(0));
-    Ok(PeerClient { calls, peer, config, driver, carried, received_bytes, taken })
+    let remote = response.get()?.get_peer()?;
+    let (config, taken_bytes) = (config.clone(), Cell::new(0));
+    Ok(PeerClient {
+        remote,
+        peer,
+        config,
+        connection,
+        transferred_bytes,
+        received_bytes,
+        taken_bytes,
+    })
 }
 
-/// Runs the connection, and closes it when the client or the handshake is given up.
-struct Driver(JoinHandle<()>);
+/// Task that drives the connection. Dropping it, with the client or during the handshake, closes
+/// the connection.
+struct ConnectionTask(JoinHandle<()>);
 
-impl Drop for Driver {
+impl Drop for ConnectionTask {
     fn drop(&mut self) {
         self.0.abort();
     }
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -1,22 +1,23 @@
-//! Why a call to a peer failed.
+//! Error type of calls to a peer.
 
 use std::error::Error;
 use std::fmt;
 
-/// When a call to a peer brings no answer.
+/// Reason why a call to a peer returned no response.
 ///
-/// None of these proves that the peer did not act on the call.
+/// With any of these errors the peer may still have executed the call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PeerError {
-    /// There is no connection, or it broke.
+    /// The connection could not be opened, or it was lost.
     Unreachable(String),
-    /// No answer came in time.
+    /// No response arrived before the timeout.
     TimedOut,
-    /// One side did not prove the shared key, or is not the VM that was asked for.
+    /// One side did not prove possession of the shared key, or is not the requested VM.
     Refused,
-    /// The peer hands on as much as it can; another one may be asked now, this one later.
+    /// The peer has reached its limit for forwarding published values. The call may be retried now
+    /// at another peer, or later at this one.
     Busy,
-    /// The peer answered with an error or with something that is not valid.
+    /// The peer responded with an error or with an invalid message.
     Invalid(String),
 }
 
@@ -24,10 +25,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreachable(reason) => write!(f, "peer unreachable: {reason}"),
-            Self::TimedOut => f.write_str("peer did not answer in time"),
-            Self::Refused => f.write_str("peer refused: shared key not proved or other VM"),
+            Self::TimedOut => f.write_str("call to peer timed out"),
+            Self::Refused => f.write_str("peer authentication failed: key not proved or wrong VM"),
             Self::Busy => f.write_str("peer is busy"),
-            Self::Invalid(reason) => write!(f, "peer's answer not valid: {reason}"),
+            Self::Invalid(reason) => write!(f, "invalid response from peer: {reason}"),
         }
     }
 }
--- a/crates/peer/src/handler.rs
+++ b/crates/peer/src/handler.rs
@@ -1,4 +1,4 @@
-//! What a process does when a peer calls it.
+//! Interface that a process implements to serve calls from peers.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -11,20 +11,21 @@
 
 /// Functions that a peer may call once it has proved the shared key.
 ///
-/// A future is dropped at its next `await` when the caller gives up or its connection breaks, so
-/// an implementation changes state in one piece between awaits. The claims that reach `claim`,
-/// `complete` and `close` carry the caller's proved name.
+/// A future is dropped at its next `await` if the calling peer cancels or its connection is lost,
+/// so an implementation must complete each state change without an `await` in between. The claims
+/// passed to `claim`, `complete` and `close` carry the authenticated identity of the peer.
 pub trait PeerHandler: 'static {
-    /// Somebody at this address failed to prove the shared key; nothing it said counts.
+    /// Notifies the handler that the client at this address failed to prove the shared key; data
+    /// from it is ignored.
     fn handshake_rejected(&self, from: SocketAddr);
 
-    /// The peer is alive; answers with this process's own heartbeat.
-    fn heartbeat(&self, from: &PeerId, beat: Heartbeat) -> impl Future<Output = Heartbeat>;
+    /// Processes a heartbeat of the peer and returns this process's own heartbeat.
+    fn heartbeat(&self, from: &PeerId, heartbeat: Heartbeat) -> impl Future<Output = Heartbeat>;
 
-    /// The peer asks for leave to run an operation of a session issued here.
+    /// Decides whether the peer may run an operation of a session issued by this process.
     fn claim(&self, operation: OperationId, claim: ClaimId) -> impl Future<Output = ClaimAnswer>;
 
-    /// The peer reports the end of an operation granted to it.
+    /// Records the completion of an operation that was granted to the peer.
     fn complete(
         &self,
         operation: OperationId,
@@ -32,23 +33,24 @@
         completion: Completion,
     ) -> impl Future<Output = CompletionAnswer>;
 
-    /// The peer wants an operation never to run.
+    /// Ensures that an operation never runs, unless it was granted to another process.
     fn close(&self, operation: OperationId, claim: ClaimId) -> impl Future<Output = ClaimAnswer>;
 
-    /// The peer asks the archive about an operation whose issuer left.
+    /// Looks up an operation of a departed issuer in the archive; `None` if the archive does not
+    /// hold the issuer's ledger.
     fn lookup(&self, operation: OperationId) -> impl Future<Output = Option<ClaimAnswer>>;
 
-    /// The peer wants a session that is issued here; `None` while leaving or without room.
+    /// Issues a session to the peer; `None` while this process is leaving or has no room for one.
     fn issue(&self) -> impl Future<Output = Option<Session>>;
 
-    /// The peer wants the published values changed after a revision; `None` while this process hands
-    /// on as much as its link bears.
-    fn changes(&self, asked: ChangesRequest) -> impl Future<Output = Option<Changes>>;
+    /// Returns the published values that changed after a revision; `None` while this process
+    /// already forwards as much as its link can carry.
+    fn changes(&self, request: ChangesRequest) -> impl Future<Output = Option<Changes>>;
 
-    /// The peer offers published values.
+    /// Receives published values that the peer offers.
     fn push(&self, from: &PeerId, changes: Changes) -> impl Future<Output = ()>;
 
-    /// The peer leaves a part of a sealed ledger here, its own or one that it held for another
-    /// issuer; `false` when it cannot be kept.
+    /// Stores a part of a sealed ledger, either the peer's own or one that the peer held for
+    /// another issuer; `false` if it cannot be stored.
     fn handoff(&self, from: &PeerId, part: LedgerPart) -> impl Future<Output = bool>;
 }
--- a/crates/peer/src/key.rs
+++ b/crates/peer/src/key.rs
@@ -1,4 +1,4 @@
-//! The key that all processes of one system share, and the proofs of knowing it.
+//! The key shared by all processes of a fleet, and the proofs of possessing it.
 
 use std::error::Error;
 use std::fmt;
@@ -9,21 +9,21 @@
 
 use crate::PeerId;
 
-/// Shorter keys are refused, as a key file cut short or left empty would be guessable.
+/// Minimum length of a key; a truncated or empty key file would give a guessable key.
 pub const KEY_BYTES_MIN: usize = 16;
 
-/// Length of the random part of a handshake.
+/// Length of the nonce that each side contributes to a handshake.
 pub(crate) const NONCE_BYTES: usize = 32;
 
-/// A key, as read from the operators' key file.
+/// Shared key, as read from the operators' key file.
 #[derive(Clone)]
 pub struct PeerKey(Hmac<Sha256>);
 
 impl PeerKey {
-    /// Takes the bytes of a key file, without white space at the end.
+    /// Creates a key from the bytes of a key file, ignoring trailing white space.
     ///
     /// # Errors
-    /// When fewer than [`KEY_BYTES_MIN`] bytes are left.
+    /// Returns [`KeyError`] if fewer than [`KEY_BYTES_MIN`] bytes remain.
     pub fn new(bytes: &[u8]) -> Result<Self, KeyError> {
         let bytes = bytes.trim_ascii_end();
         if bytes.len() < KEY_BYTES_MIN {
@@ -33,13 +33,13 @@
         Ok(Self(mac))
     }
 
-    fn mac(&self, side: Side, talk: &Handshake) -> Hmac<Sha256> {
+    fn mac(&self, side: Side, transcript: &HandshakeTranscript) -> Hmac<Sha256> {
         let mut mac = self.0.clone();
         mac.update(side.label());
-        for part in [&talk.client_nonce, &talk.server_nonce] {
+        for part in [&transcript.client_nonce, &transcript.server_nonce] {
             mac.update(part);
         }
-        for id in [&talk.client, &talk.server] {
+        for id in [&transcript.client, &transcript.server] {
             mac.update(&id.incarnation.value().to_be_bytes());
             mac.update(&(id.vm.as_str().len() as u64).to_be_bytes());
             mac.update(id.vm.as_str().as_bytes());
@@ -47,13 +47,18 @@
         mac
     }
 
-    pub(crate) fn proof(&self, side: Side, talk: &Handshake) -> Vec<u8> {
-        self.mac(side, talk).finalize().into_bytes().to_vec()
+    pub(crate) fn proof(&self, side: Side, transcript: &HandshakeTranscript) -> Vec<u8> {
+        self.mac(side, transcript).finalize().into_bytes().to_vec()
     }
 
-    /// Compares in constant time.
-    pub(crate) fn verifies(&self, side: Side, talk: &Handshake, proof: &[u8]) -> bool {
-        self.mac(side, talk).verify_slice(proof).is_ok()
+    /// Checks a proof in constant time.
+    pub(crate) fn is_valid_proof(
+        &self,
+        side: Side,
+        transcript: &HandshakeTranscript,
+        proof: &[u8],
+    ) -> bool {
+        self.mac(side, transcript).verify_slice(proof).is_ok()
     }
 }
 
@@ -63,19 +68,20 @@
     }
 }
 
-/// When a key file is too short.
+/// Error for a key that is too short.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeyError;
 
 impl fmt::Display for KeyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a peer key needs at least {KEY_BYTES_MIN} bytes")
+        write!(f, "peer key must have at least {KEY_BYTES_MIN} bytes")
     }
 }
 
 impl Error for KeyError {}
 
-/// Who makes a proof. The two sides' proofs differ, so that one cannot be sent back as the other.
+/// Side of a connection that creates a proof. Proofs of the two sides differ, so a proof cannot be
+/// reflected to the side that sent it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Side {
     Client,
@@ -91,15 +97,15 @@
     }
 }
 
-/// What both proofs of one connection cover.
+/// Handshake data of one connection that the proofs of both sides authenticate.
 #[derive(Debug)]
-pub(crate) struct Handshake {
+pub(crate) struct HandshakeTranscript {
     pub(crate) client: PeerId,
     pub(crate) server: PeerId,
     pub(crate) client_nonce: [u8; NONCE_BYTES],
     pub(crate) server_nonce: [u8; NONCE_BYTES],
 }
 
-pub(crate) fn draw_nonce() -> [u8; NONCE_BYTES] {
+pub(crate) fn generate_nonce() -> [u8; NONCE_BYTES] {
     rand::random()
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,21 +1,22 @@
-//! Calls between `shallotd` processes over capnp-rpc on TCP.
+//! RPC between `shallotd` processes, using capnp-rpc over TCP.
 //!
-//! Both sides prove a shared key before either can call a function of the other. Everything here
-//! runs on one thread, in a [`tokio::task::LocalSet`], since capnp-rpc's futures are not `Send`.
-//! No type generated from the schema is public. `docs/design/peer.md` gives the choices.
+//! Both sides prove possession of a shared key before either can call the other. All code in this
+//! crate runs on a single thread, in a [`tokio::task::LocalSet`], because the futures of capnp-rpc
+//! are not `Send`. No type generated from the schema is public. See `docs/design/peer.md` for the
+//! design decisions.
 
 mod client;
 mod error;
-mod gate;
 mod handler;
 mod key;
 mod message;
 mod metered;
 mod peer_config;
+mod pre_auth;
 mod server;
 mod wire;
 
-/// Generated from `schema/peer.capnp`; committed so that a build needs no generator.
+/// Generated from `schema/peer.capnp`; committed so that a build does not need the generator.
 #[rustfmt::skip]
 #[allow(clippy::all, clippy::unwrap_used)]
 mod peer_capnp;
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -1,4 +1,4 @@
-//! What processes tell each other, besides what `shallotfork-once` defines.
+//! Messages between processes, besides those that `shallotfork-once` defines.
 
 use std::time::Duration;
 
@@ -9,165 +9,167 @@
     TargetId, VmId,
 };
 
-/// One run of the process on one VM, proved by the handshake.
+/// Identity of a peer: one run of the process on one VM, authenticated by the handshake.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct PeerId {
-    /// The VM.
+    /// VM that the process runs on.
     pub vm: VmId,
-    /// The run of its process.
+    /// Run of the process.
     pub incarnation: Incarnation,
 }
 
 impl PeerId {
-    /// Names a process.
+    /// Creates the identity of one run of the process on `vm`.
     pub fn new(vm: VmId, incarnation: Incarnation) -> Self {
         Self { vm, incarnation }
     }
 }
 
-/// Whether a process takes on new work.
+/// Whether a process accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerState {
-    /// It has no rule list yet and serves nobody.
+    /// Has no rule list yet and serves no callers.
     Starting,
-    /// It does.
+    /// Accepts new work.
     Live,
-    /// A planned stop is under way.
+    /// Is shutting down as planned.
     Leaving,
 }
 
-/// What a process says of itself at regular intervals, and at once when it leaves.
+/// Periodic message in which a process reports its own state; also sent immediately when it leaves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Whether it takes on new work.
+    /// Whether the sender accepts new work.
     pub state: PeerState,
-    /// Where the sender stands.
+    /// Failure domain of the sender.
     pub failure_domain: FailureDomain,
-    /// Where callers connect to the sender; peers name it in answers before the platform's list,
-    /// which lags, has the VM.
+    /// Endpoint for callers of the sender. Peers advertise it to callers before the VM appears in
+    /// the platform's VM list, which lags.
     pub callers: Endpoint,
-    /// Where peers connect to the sender.
+    /// Endpoint for peers of the sender.
     pub peers: Endpoint,
-    /// Raised by the sender each time that it refutes a suspicion against itself.
+    /// Counter that the sender increments each time it refutes a suspicion against itself.
     pub round: u32,
-    /// What the sender knows of third VMs.
+    /// Membership updates about other VMs.
     pub updates: Vec<PeerUpdate>,
-    /// Highest revision it has heard of.
+    /// Highest revision known to the sender.
     pub seen_revision: Revision,
-    /// Revision up to which it holds every published value.
+    /// Revision up to which the sender holds every published value.
     pub synced_revision: Revision,
-    /// Fingerprint of the lists in force at the sender; differs when a list or its content does.
+    /// Fingerprint of the lists in force at the sender; changes with any list or its content.
     pub lists_digest: ListsDigest,
-    /// Whether the sender cannot read the platform, or reads a replica that is behind, so that it
-    /// depends on peers for what is published.
+    /// Whether the sender cannot read the platform, or reads a replica that lags, and so depends
+    /// on peers for published values.
     pub is_disconnected: bool,
-    /// What it has seen and heard of the platform.
+    /// Availability of the platform as known to the sender.
     pub platform: PlatformReport,
-    /// Entries of its own failure domain that it takes to be live, itself included; zero when it
-    /// does not say.
+    /// Number of entries in the sender's failure domain that it considers live, including itself;
+    /// zero if not reported.
     pub domain_entries: u32,
-    /// Whether its work waits for the processor.
+    /// Whether runnable work of the sender waits for the processor.
     pub is_overloaded: bool,
-    /// Crash records of requests that the sender reports.
+    /// Reports of requests that crashed targets.
     pub crash_reports: Vec<CrashReport>,
     /// Digest of the requests that the sender quarantines.
     pub quarantine_digest: QuarantineDigest,
     /// Recently changed or refreshed rate limits of targets.
     pub rate_limits: Vec<RateLimitReport>,
-    /// Whether its sudden end would leave no operation as may-have-run.
+    /// Whether a sudden end of the sender would leave no operation as may-have-run.
     pub restart_safe: bool,
     /// Load of some targets; may be empty.
     pub loads: Vec<LoadHint>,
-    /// Requests that the sender's VM could carry; zero when it does not say.
+    /// Requests per second that the sender's VM can carry; zero if not reported.
     pub capacity: PerSecond,
 }
 
-/// What the sender of a heartbeat has seen and heard of the platform. Ages are passed on in place
-/// of points in time, so that no two clocks are compared.
+/// Availability of the platform as known to the sender of a heartbeat. Holds ages instead of
+/// timestamps, so that the clocks of two VMs are never compared.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PlatformReport {
-    /// Time since the platform answered somebody; `None` when nobody is known to have been answered.
+    /// Time since the platform last answered any entry; `None` if no answer is known.
     pub last_answer: Option<Duration>,
-    /// Time since a reader of the platform was heard, whatever it said; `None` for never.
+    /// Time since the last message from a reader of the platform, whatever its content; `None` if
+    /// there was none.
     pub reader_last_seen: Option<Duration>,
-    /// Time for which it has answered nobody; `None` while it answers.
+    /// Time for which the platform has answered no entry; `None` while it answers.
     pub outage: Option<Duration>,
 }
 
-/// What the sender of a heartbeat knows of a third VM.
+/// Membership update: what the sender of a heartbeat knows about another VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerUpdate {
-    /// The run that it is about.
+    /// Process that the update describes.
     pub peer: PeerId,
-    /// The highest round known of that run.
+    /// Highest known round of that process.
     pub round: u32,
-    /// What that run said of itself.
+    /// State that the process reported about itself.
     pub state: PeerState,
-    /// Whether its heartbeats are missed.
+    /// Whether the process is suspected because its heartbeats are missing.
     pub suspected: bool,
-    /// Where it stands.
+    /// Failure domain of the process.
     pub failure_domain: FailureDomain,
-    /// Where callers connect to it.
+    /// Endpoint for callers of the process.
     pub callers: Endpoint,
-    /// Where peers connect to it.
+    /// Endpoint for peers of the process.
     pub peers: Endpoint,
-    /// Requests that its VM could carry; zero when it does not say.
+    /// Requests per second that its VM can carry; zero if not reported.
     pub capacity: PerSecond,
 }
 
-/// Load that a target reported to the sender.
+/// Load that a target reported to the sender of a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadHint {
-    /// The target.
+    /// Target that reported the load.
     pub target: TargetId,
-    /// Its load; above 1000 when it is over capacity.
+    /// Load of the target; above 1000 if it is over capacity.
     pub load: Permille,
-    /// Time since the report was made, in milliseconds.
+    /// Age of the report in milliseconds.
     pub age_ms: u32,
 }
 
-/// Published values changed after some revision.
+/// Published values that changed after a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Changes {
-    /// Revision up to which the sender's answer is complete.
+    /// Revision up to which the changes are complete.
     pub revision: Revision,
-    /// The changed values.
+    /// Changed values.
     pub values: Vec<ValueChange>,
-    /// Whether these are all values, so that others do not exist any more.
+    /// Whether these are all published values, so that any other value no longer exists.
     pub is_snapshot: bool,
-    /// Further values, which are handed on together.
+    /// Further values, packed together.
     pub bundle: Option<Bundle>,
 }
 
-/// Values that are packed together. Hundreds of small ones are much alike.
+/// Values that are packed together: hundreds of small values are similar, so they compress better
+/// as one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Bundle {
-    /// What [`encode_values`](crate::encode_values) makes of the values, packed.
+    /// Packed output of [`encode_values`](crate::encode_values).
     pub content: Vec<u8>,
-    /// Size of the content once it is unpacked.
+    /// Size of the unpacked content.
     pub unpacked_size: Bytes,
 }
 
-/// A question for published values.
+/// Request for the published values that changed after a revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChangesRequest {
-    /// Up to which revision all is known.
+    /// Revision up to which the requester holds every published value.
     pub after: Revision,
-    /// Whether contents may come packed.
+    /// Whether the response may contain packed values.
     pub accepts_packed: bool,
 }
 
-/// One published value.
+/// One published value, or its removal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ValueChange {
-    /// Name on the platform.
+    /// Name of the value on the platform.
     pub name: String,
-    /// Revision of its last change.
+    /// Revision of the last change of the value.
     pub revision: Revision,
-    /// The whole content, packed if `unpacked_size` is set; empty when it was removed.
+    /// Entire content, packed if `unpacked_size` is set; empty if the value was removed.
     pub content: Vec<u8>,
-    /// Size of the content once it is unpacked; `None` if it is not packed.
+    /// Size of the unpacked content; `None` if the content is not packed.
     pub unpacked_size: Option<Bytes>,
-    /// Whether it is no longer published.
+    /// Whether the value is no longer published.
     pub removed: bool,
 }
--- a/crates/peer/src/metered.rs
+++ b/crates/peer/src/metered.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes of connections between entries.
+//! Byte counting for connections between entries.
 
 use std::cell::Cell;
 use std::io;
@@ -9,37 +9,44 @@
 use futures::{AsyncRead, AsyncWrite};
 use metrics::{Counter, counter};
 
-/// Bytes of calls between entries, by direction.
+/// Metric for the bytes transferred between entries, by direction.
 const PEER_BYTES: &str = "shallotd_peer_bytes_total";
 
-/// A stream whose bytes are counted, both directions apart.
-pub(crate) struct Metered<S> {
+/// Stream that counts the bytes it transfers in each direction.
+pub(crate) struct MeteredStream<S> {
     inner: S,
     received: Counter,
     sent: Counter,
-    carried: Rc<Cell<u64>>,
+    transferred_bytes: Rc<Cell<u64>>,
     received_bytes: Rc<Cell<u64>>,
 }
 
-impl<S> Metered<S> {
+impl<S> MeteredStream<S> {
     pub(crate) fn new(inner: S) -> Self {
         let received = counter!(PEER_BYTES, "direction" => "received");
         let sent = counter!(PEER_BYTES, "direction" => "sent");
-        Self { inner, received, sent, carried: Rc::default(), received_bytes: Rc::default() }
+        Self {
+            inner,
+            received,
+            sent,
+            transferred_bytes: Rc::default(),
+            received_bytes: Rc::default(),
+        }
     }
 
-    /// Bytes received since the connection was opened, as they grow.
+    /// Returns the shared counter of bytes received since the connection was opened.
     pub(crate) fn received_bytes(&self) -> Rc<Cell<u64>> {
         Rc::clone(&self.received_bytes)
     }
 
-    /// Bytes of both directions since the connection was opened, as they grow.
-    pub(crate) fn carried(&self) -> Rc<Cell<u64>> {
-        Rc::clone(&self.carried)
+    /// Returns the shared counter of bytes transferred in both directions since the connection was
+    /// opened.
+    pub(crate) fn transferred_bytes(&self) -> Rc<Cell<u64>> {
+        Rc::clone(&self.transferred_bytes)
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Metered<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for MeteredStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -49,13 +56,13 @@
         if let Poll::Ready(Ok(count)) = read {
             self.received.increment(count as u64);
             self.received_bytes.set(self.received_bytes.get() + count as u64);
-            self.carried.set(self.carried.get() + count as u64);
+            self.transferred_bytes.set(self.transferred_bytes.get() + count as u64);
         }
         read
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Metered<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for MeteredStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -64,7 +71,7 @@
         let written = Pin::new(&mut self.inner).poll_write(cx, buf);
         if let Poll::Ready(Ok(count)) = written {
             self.sent.increment(count as u64);
-            self.carried.set(self.carried.get() + count as u64);
+            self.transferred_bytes.set(self.transferred_bytes.get() + count as u64);
         }
         written
     }
--- a/crates/peer/src/peer_config.rs
+++ b/crates/peer/src/peer_config.rs
@@ -4,25 +4,26 @@
 
 use shallotfork_types::Bytes;
 
-/// Limits of one process, as server and as client.
+/// Limits and timeouts of one process, both as server and as client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerConfig {
-    /// Time to connect and for both sides to prove the key; default 1 s.
+    /// Timeout for connecting, including the proof of the key by both sides; default 1 s.
     pub handshake_timeout: Duration,
-    /// Time for the answer to a small call; default 1 s.
+    /// Timeout of a call with a small message; default 1 s.
     pub call_timeout: Duration,
-    /// Time for the answer to a call that carries lists or a ledger; default 5 s.
+    /// Timeout of a call that transfers lists or a ledger; default 5 s.
     pub bulk_timeout: Duration,
-    /// Connections served at once; further ones are closed at once; default 256.
+    /// Maximum number of concurrent connections; further ones are closed immediately; default 256.
     pub connections_max: usize,
-    /// Size of one message; default 16 MiB.
+    /// Maximum size of one message; default 16 MiB.
     pub message_max: Bytes,
-    /// Bytes read from a connection before the other side has proved the key; default 4 KiB.
+    /// Maximum number of bytes read from a connection until the client has proved the key; default
+    /// 4 KiB.
     pub unauthenticated_max: Bytes,
 }
 
 impl PeerConfig {
-    /// The defaults named on each field.
+    /// Creates a configuration with the default of each field.
     pub fn new() -> Self {
         Self {
             handshake_timeout: Duration::from_secs(1),
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -1,4 +1,4 @@
-//! Serves peers that prove the shared key.
+//! Server for calls from peers that prove the shared key.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,16 +14,16 @@
 use tokio::task::JoinSet;
 use tokio_util::compat::TokioAsyncReadCompatExt as _;
 
-use crate::gate::{Gate, GatedReader};
-use crate::key::{Handshake, Side, draw_nonce};
-use crate::metered::Metered;
+use crate::key::{HandshakeTranscript, Side, generate_nonce};
+use crate::metered::MeteredStream;
 use crate::peer_capnp as schema;
+use crate::pre_auth::{AuthState, PreAuthReader};
 use crate::wire;
 use crate::{ChangesRequest, PeerConfig, PeerHandler, PeerId, PeerKey};
 
 type CapnpResult = Result<(), Error>;
 
-/// Bytes of a word of the Cap'n Proto encoding.
+/// Size of a word in the Cap'n Proto encoding.
 const WORD_BYTES: u64 = 8;
 
 pub(crate) fn reader_options(config: &PeerConfig) -> ReaderOptions {
@@ -33,7 +33,7 @@
     options
 }
 
-/// Accepts connections of peers; must run within a `LocalSet`.
+/// Server that accepts connections from peers; must run within a `LocalSet`.
 #[derive(Debug)]
 pub struct PeerServer<H> {
     listener: TcpListener,
@@ -49,7 +49,7 @@
 }
 
 impl<H: PeerHandler> PeerServer<H> {
-    /// Takes a bound listener and the functions that peers may call.
+    /// Creates a server from a bound listener and the handler for calls from peers.
     pub fn new(
         listener: TcpListener,
         key: PeerKey,
@@ -61,15 +61,15 @@
         Self { listener, shared: Rc::new(shared) }
     }
 
-    /// Serves until the future is dropped, which cuts every connection.
+    /// Serves connections until the future is dropped, which closes all of them.
     pub async fn serve(self) {
         let mut connections = JoinSet::new();
         loop {
             let accepted = self.listener.accept().await;
             while connections.try_join_next().is_some() {}
             let Ok((stream, address)) = accepted else {
-                // The process is out of file descriptors; other tasks may free some.
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                // The process is out of file descriptors; other tasks may release some.
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             if connections.len() >= self.shared.config.connections_max {
@@ -81,11 +81,11 @@
     }
 }
 
-/// Pause after a failed accept.
-const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(50);
+/// Delay before the next accept after a failed one.
+const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(50);
 
-/// Serves one connection. A peer that has not proved the key within the timeout is cut, so that
-/// half-open handshakes cannot use up the connections.
+/// Serves one connection. Closes it if the peer has not proved the key before the timeout, so that
+/// incomplete handshakes cannot exhaust the connection limit.
 async fn serve_connection<H: PeerHandler>(
     shared: Rc<Shared<H>>,
     stream: TcpStream,
@@ -94,28 +94,28 @@
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    let gate = Gate::default();
-    let (reader, writer) = Metered::new(stream.compat()).split();
-    let unproven_max_bytes = shared.config.unauthenticated_max.value();
-    let reader = GatedReader::new(reader, gate.clone(), unproven_max_bytes);
+    let auth_state = AuthState::default();
+    let (reader, writer) = MeteredStream::new(stream.compat()).split();
+    let unauthenticated_max_bytes = shared.config.unauthenticated_max.value();
+    let reader = PreAuthReader::new(reader, auth_state.clone(), unauthenticated_max_bytes);
     let options = reader_options(&shared.config);
     let network = twoparty::VatNetwork::new(reader, writer, RpcSide::Server, options);
     let handshake_timeout = shared.config.handshake_timeout;
-    let bootstrap = BootstrapServer { shared, address, gate: gate.clone() };
+    let bootstrap = BootstrapServer { shared, address, auth_state: auth_state.clone() };
     let bootstrap: schema::bootstrap::Client = capnp_rpc::new_client(bootstrap);
     let mut rpc = RpcSystem::new(Box::new(network), Some(bootstrap.client));
     let finished = tokio::time::timeout(handshake_timeout, &mut rpc).await.is_ok();
-    if finished || !gate.is_open() {
+    if finished || !auth_state.is_authenticated() {
         return;
     }
-    // The connection's end is all there is to learn here; the client side sees the reason.
+    // The result carries no more than the end of the connection; the client sees the error.
     let _ = rpc.await;
 }
 
 struct BootstrapServer<H> {
     shared: Rc<Shared<H>>,
     address: SocketAddr,
-    gate: Gate,
+    auth_state: AuthState,
 }
 
 impl<H: PeerHandler> schema::bootstrap::Server for BootstrapServer<H> {
@@ -125,22 +125,22 @@
         mut results: schema::bootstrap::ChallengeResults,
     ) -> CapnpResult {
         let params = params.get()?;
-        let talk = Handshake {
-            client: wire::peer_id(params.get_vm()?, params.get_incarnation())?,
+        let transcript = HandshakeTranscript {
+            client: wire::read_peer_id(params.get_vm()?, params.get_incarnation())?,
             server: self.shared.own_id.clone(),
-            client_nonce: wire::nonce(params.get_nonce()?)?,
-            server_nonce: draw_nonce(),
+            client_nonce: wire::read_nonce(params.get_nonce()?)?,
+            server_nonce: generate_nonce(),
         };
         let mut results = results.get();
-        results.set_nonce(&talk.server_nonce);
-        results.set_vm(talk.server.vm.as_str());
-        results.set_incarnation(talk.server.incarnation.value());
-        results.set_proof(&self.shared.key.proof(Side::Server, &talk));
+        results.set_nonce(&transcript.server_nonce);
+        results.set_vm(transcript.server.vm.as_str());
+        results.set_incarnation(transcript.server.incarnation.value());
+        results.set_proof(&self.shared.key.proof(Side::Server, &transcript));
         let handshake = HandshakeServer {
             shared: Rc::clone(&self.shared),
             address: self.address,
-            gate: self.gate.clone(),
-            talk,
+            auth_state: self.auth_state.clone(),
+            transcript,
         };
         results.set_handshake(capnp_rpc::new_client(handshake));
         Ok(())
@@ -150,8 +150,8 @@
 struct HandshakeServer<H> {
     shared: Rc<Shared<H>>,
     address: SocketAddr,
-    gate: Gate,
-    talk: Handshake,
+    auth_state: AuthState,
+    transcript: HandshakeTranscript,
 }
 
 impl<H: PeerHandler> schema::handshake::Server for HandshakeServer<H> {
@@ -161,27 +161,27 @@
         mut results: schema::handshake::ProveResults,
     ) -> CapnpResult {
         let proof = params.get()?.get_proof()?;
-        if !self.shared.key.verifies(Side::Client, &self.talk, proof) {
+        if !self.shared.key.is_valid_proof(Side::Client, &self.transcript, proof) {
             self.shared.handler.handshake_rejected(self.address);
             return Ok(());
         }
-        self.gate.open();
+        self.auth_state.mark_authenticated();
         let handler = Rc::clone(&self.shared.handler);
-        let calls = CallServer { handler, from: self.talk.client.clone() };
+        let calls = CallServer { handler, peer: self.transcript.client.clone() };
         results.get().set_peer(capnp_rpc::new_client(calls));
         Ok(())
     }
 }
 
-/// The functions of this process, for one proved peer.
+/// Serves the calls of one authenticated peer.
 struct CallServer<H> {
     handler: Rc<H>,
-    from: PeerId,
+    peer: PeerId,
 }
 
 impl<H> CallServer<H> {
     fn claim_id(&self, number: u64) -> ClaimId {
-        ClaimId::new(self.from.vm.clone(), self.from.incarnation, number)
+        ClaimId::new(self.peer.vm.clone(), self.peer.incarnation, number)
     }
 }
 
@@ -191,9 +191,9 @@
         params: schema::peer::HeartbeatParams,
         mut results: schema::peer::HeartbeatResults,
     ) -> CapnpResult {
-        let beat = wire::read_heartbeat(params.get()?.get_heartbeat()?)?;
-        let own = self.handler.heartbeat(&self.from, beat).await;
-        wire::write_heartbeat(&own, results.get().init_heartbeat());
+        let heartbeat = wire::read_heartbeat(params.get()?.get_heartbeat()?)?;
+        let reply = self.handler.heartbeat(&self.peer, heartbeat).await;
+        wire::write_heartbeat(&reply, results.get().init_heartbeat());
         Ok(())
     }
 
@@ -206,7 +206,7 @@
         let operation = wire::read_operation(params.get_operation()?)?;
         let claim = self.claim_id(params.get_number());
         let answer = self.handler.claim(operation, claim).await;
-        wire::write_answer(&answer, results.get().init_answer());
+        wire::write_claim_answer(&answer, results.get().init_answer());
         Ok(())
     }
 
@@ -233,7 +233,7 @@
         let operation = wire::read_operation(params.get_operation()?)?;
         let claim = self.claim_id(params.get_number());
         let answer = self.handler.close(operation, claim).await;
-        wire::write_answer(&answer, results.get().init_answer());
+        wire::write_claim_answer(&answer, results.get().init_answer());
         Ok(())
     }
 
@@ -248,7 +248,7 @@
         };
         let mut results = results.get();
         results.set_held(true);
-        wire::write_answer(&answer, results.init_answer());
+        wire::write_claim_answer(&answer, results.init_answer());
         Ok(())
     }
 
@@ -269,11 +269,11 @@
         mut results: schema::peer::ChangesResults,
     ) -> CapnpResult {
         let params = params.get()?;
-        let asked = ChangesRequest {
+        let request = ChangesRequest {
             after: Revision::new(params.get_after()),
             accepts_packed: params.get_takes_packed(),
         };
-        let Some(changes) = self.handler.changes(asked).await else {
+        let Some(changes) = self.handler.changes(request).await else {
             return Err(Error::overloaded("hands on as much as the link bears".to_owned()));
         };
         wire::write_changes(&changes, results.get().init_changes());
@@ -286,7 +286,7 @@
         _results: schema::peer::PushResults,
     ) -> CapnpResult {
         let changes = wire::read_changes(params.get()?.get_changes()?)?;
-        self.handler.push(&self.from, changes).await;
+        self.handler.push(&self.peer, changes).await;
         Ok(())
     }
 
@@ -298,7 +298,7 @@
         let params = params.get()?;
         let ledger = wire::read_ledger(params.get_ledger()?)?;
         let part = LedgerPart { index: params.get_index(), count: params.get_count(), ledger };
-        let accepted = self.handler.handoff(&self.from, part).await;
+        let accepted = self.handler.handoff(&self.peer, part).await;
         results.get().set_accepted(accepted);
         Ok(())
     }
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/wire.rs
@@ -1,4 +1,4 @@
-//! Between the typed messages and the types generated from the schema.
+//! Conversion between the typed messages and the types generated from the schema.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,12 +22,12 @@
     ValueChange,
 };
 
-pub(crate) fn invalid(error: ParseError) -> Error {
+pub(crate) fn to_capnp_error(error: ParseError) -> Error {
     Error::failed(error.to_string())
 }
 
-/// capnp counts list items in 32 bits; longer lists cannot fit a message anyway.
-fn length(count: usize) -> u32 {
+/// Converts a list length for capnp, which uses 32 bits; longer lists cannot fit into a message.
+fn list_length(count: usize) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
@@ -35,12 +35,12 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-pub(crate) fn nonce(bytes: &[u8]) -> Result<[u8; NONCE_BYTES]> {
+pub(crate) fn read_nonce(bytes: &[u8]) -> Result<[u8; NONCE_BYTES]> {
     bytes.try_into().map_err(|_| Error::failed("nonce of wrong length".to_owned()))
 }
 
-pub(crate) fn peer_id(vm: capnp::text::Reader<'_>, incarnation: u64) -> Result<PeerId> {
-    let vm = vm.to_str()?.parse().map_err(invalid)?;
+pub(crate) fn read_peer_id(vm: capnp::text::Reader<'_>, incarnation: u64) -> Result<PeerId> {
+    let vm = vm.to_str()?.parse().map_err(to_capnp_error)?;
     Ok(PeerId::new(vm, Incarnation::new(incarnation)))
 }
 
@@ -50,15 +50,15 @@
 }
 
 pub(crate) fn read_operation(from: schema::operation::Reader<'_>) -> Result<OperationId> {
-    let session = from.get_session()?.to_str()?.parse().map_err(invalid)?;
-    let key = IdempotencyKey::new(from.get_key()?.to_str()?).map_err(invalid)?;
+    let session = from.get_session()?.to_str()?.parse().map_err(to_capnp_error)?;
+    let key = IdempotencyKey::new(from.get_key()?.to_str()?).map_err(to_capnp_error)?;
     Ok(OperationId::new(session, key))
 }
 
-fn write_kept(answer: &KeptAnswer, mut to: schema::kept_answer::Builder<'_>) {
+fn write_kept_answer(answer: &KeptAnswer, mut to: schema::kept_answer::Builder<'_>) {
     to.set_status(answer.status);
     to.set_body(&answer.body);
-    let mut headers = to.init_headers(length(answer.headers.len()));
+    let mut headers = to.init_headers(list_length(answer.headers.len()));
     for (index, header) in (0..).zip(&answer.headers) {
         let mut field = headers.reborrow().get(index);
         field.set_name(&header.name[..]);
@@ -66,7 +66,7 @@
     }
 }
 
-fn read_kept(from: schema::kept_answer::Reader<'_>) -> Result<Arc<KeptAnswer>> {
+fn read_kept_answer(from: schema::kept_answer::Reader<'_>) -> Result<Arc<KeptAnswer>> {
     let headers = from.get_headers()?.iter().map(read_header).collect::<Result<_>>()?;
     let body = from.get_body()?.to_vec();
     Ok(Arc::new(KeptAnswer { status: from.get_status(), headers, body }))
@@ -78,11 +78,11 @@
     Ok(HeaderField { name, value })
 }
 
-pub(crate) fn write_answer(answer: &ClaimAnswer, mut to: schema::claim_answer::Builder<'_>) {
+pub(crate) fn write_claim_answer(answer: &ClaimAnswer, mut to: schema::claim_answer::Builder<'_>) {
     match answer {
         ClaimAnswer::Granted => to.set_granted(()),
         ClaimAnswer::InProgress => to.set_in_progress(()),
-        ClaimAnswer::Kept(kept) => write_kept(kept, to.init_kept()),
+        ClaimAnswer::Kept(kept) => write_kept_answer(kept, to.init_kept()),
         ClaimAnswer::Ran => to.set_ran(()),
         ClaimAnswer::NotRun => to.set_not_run(()),
         ClaimAnswer::MayHaveRun => to.set_may_have_run(()),
@@ -91,17 +91,17 @@
     }
 }
 
-pub(crate) fn read_answer(from: schema::claim_answer::Reader<'_>) -> Result<ClaimAnswer> {
+pub(crate) fn read_claim_answer(from: schema::claim_answer::Reader<'_>) -> Result<ClaimAnswer> {
     use schema::claim_answer::Which;
     let answer = match from.which()? {
         Which::Granted(()) => ClaimAnswer::Granted,
         Which::InProgress(()) => ClaimAnswer::InProgress,
-        Which::Kept(kept) => ClaimAnswer::Kept(read_kept(kept?)?),
+        Which::Kept(kept) => ClaimAnswer::Kept(read_kept_answer(kept?)?),
         Which::Ran(()) => ClaimAnswer::Ran,
         Which::NotRun(()) => ClaimAnswer::NotRun,
         Which::MayHaveRun(()) => ClaimAnswer::MayHaveRun,
-        Which::FullRetryAfterMs(wait_ms) => {
-            ClaimAnswer::Full { retry_after: Duration::from_millis(wait_ms) }
+        Which::FullRetryAfterMs(retry_after_ms) => {
+            ClaimAnswer::Full { retry_after: Duration::from_millis(retry_after_ms) }
         }
         Which::BadSession(()) => ClaimAnswer::BadSession,
     };
@@ -110,7 +110,7 @@
 
 pub(crate) fn write_completion(completion: &Completion, mut to: schema::completion::Builder<'_>) {
     match completion {
-        Completion::Ran(kept) => write_kept(kept, to.init_ran()),
+        Completion::Ran(kept) => write_kept_answer(kept, to.init_ran()),
         Completion::RanUnkept => to.set_ran_unkept(()),
         Completion::NotRun => to.set_not_run(()),
         Completion::MayHaveRun => to.set_may_have_run(()),
@@ -120,7 +120,7 @@
 pub(crate) fn read_completion(from: schema::completion::Reader<'_>) -> Result<Completion> {
     use schema::completion::Which;
     let completion = match from.which()? {
-        Which::Ran(kept) => Completion::Ran(read_kept(kept?)?),
+        Which::Ran(kept) => Completion::Ran(read_kept_answer(kept?)?),
         Which::RanUnkept(()) => Completion::RanUnkept,
         Which::NotRun(()) => Completion::NotRun,
         Which::MayHaveRun(()) => Completion::MayHaveRun,
@@ -128,47 +128,49 @@
     Ok(completion)
 }
 
-pub(crate) fn write_heartbeat(beat: &Heartbeat, mut to: schema::heartbeat::Builder<'_>) {
-    to.set_state(write_state(beat.state));
-    to.set_seen_revision(beat.seen_revision.value());
-    to.set_synced_revision(beat.synced_revision.value());
-    to.set_lists_digest(beat.lists_digest.value());
-    to.set_platform_lost(beat.is_disconnected);
-    to.set_restart_safe(beat.restart_safe);
-    to.set_strength_per_s(beat.capacity.value());
-    to.set_failure_domain(beat.failure_domain.as_str());
-    to.set_callers(&beat.callers.to_string()[..]);
-    to.set_peers(&beat.peers.to_string()[..]);
-    to.set_round(beat.round);
-    to.set_platform_answered_ms(write_age(beat.platform.last_answer));
-    to.set_reader_heard_ms(write_age(beat.platform.reader_last_seen));
-    to.set_platform_away_ms(write_age(beat.platform.outage));
-    to.set_domain_entries(beat.domain_entries);
-    to.set_behind(beat.is_overloaded);
-    to.set_quarantine_digest(beat.quarantine_digest.value());
-    if !beat.crash_reports.is_empty() {
-        let mut all = to.reborrow().init_crash_reports(length(beat.crash_reports.len()));
-        for (index, report) in (0..).zip(&beat.crash_reports) {
-            write_crash_report(report, all.reborrow().get(index));
+pub(crate) fn write_heartbeat(heartbeat: &Heartbeat, mut to: schema::heartbeat::Builder<'_>) {
+    to.set_state(write_state(heartbeat.state));
+    to.set_seen_revision(heartbeat.seen_revision.value());
+    to.set_synced_revision(heartbeat.synced_revision.value());
+    to.set_lists_digest(heartbeat.lists_digest.value());
+    to.set_platform_lost(heartbeat.is_disconnected);
+    to.set_restart_safe(heartbeat.restart_safe);
+    to.set_strength_per_s(heartbeat.capacity.value());
+    to.set_failure_domain(heartbeat.failure_domain.as_str());
+    to.set_callers(&heartbeat.callers.to_string()[..]);
+    to.set_peers(&heartbeat.peers.to_string()[..]);
+    to.set_round(heartbeat.round);
+    to.set_platform_answered_ms(write_age(heartbeat.platform.last_answer));
+    to.set_reader_heard_ms(write_age(heartbeat.platform.reader_last_seen));
+    to.set_platform_away_ms(write_age(heartbeat.platform.outage));
+    to.set_domain_entries(heartbeat.domain_entries);
+    to.set_behind(heartbeat.is_overloaded);
+    to.set_quarantine_digest(heartbeat.quarantine_digest.value());
+    if !heartbeat.crash_reports.is_empty() {
+        let mut reports =
+            to.reborrow().init_crash_reports(list_length(heartbeat.crash_reports.len()));
+        for (index, report) in (0..).zip(&heartbeat.crash_reports) {
+            write_crash_report(report, reports.reborrow().get(index));
         }
     }
-    if !beat.rate_limits.is_empty() {
-        let mut all = to.reborrow().init_rate_limits(length(beat.rate_limits.len()));
-        for (index, report) in (0..).zip(&beat.rate_limits) {
-            write_rate_limit(report, all.reborrow().get(index));
+    if !heartbeat.rate_limits.is_empty() {
+        let mut rate_limits =
+            to.reborrow().init_rate_limits(list_length(heartbeat.rate_limits.len()));
+        for (index, report) in (0..).zip(&heartbeat.rate_limits) {
+            write_rate_limit(report, rate_limits.reborrow().get(index));
         }
     }
-    if !beat.updates.is_empty() {
-        let mut all = to.reborrow().init_news(length(beat.updates.len()));
-        for (index, news) in (0..).zip(&beat.updates) {
-            write_news(news, all.reborrow().get(index));
+    if !heartbeat.updates.is_empty() {
+        let mut updates = to.reborrow().init_news(list_length(heartbeat.updates.len()));
+        for (index, update) in (0..).zip(&heartbeat.updates) {
+            write_update(update, updates.reborrow().get(index));
         }
     }
-    if beat.loads.is_empty() {
+    if heartbeat.loads.is_empty() {
         return;
     }
-    let mut loads = to.init_loads(length(beat.loads.len()));
-    for (index, load) in (0..).zip(&beat.loads) {
+    let mut loads = to.init_loads(list_length(heartbeat.loads.len()));
+    for (index, load) in (0..).zip(&heartbeat.loads) {
         let mut hint = loads.reborrow().get(index);
         hint.set_target(load.target.as_str());
         hint.set_load_permille(load.load.value());
@@ -176,16 +178,16 @@
     }
 }
 
-fn write_news(news: &PeerUpdate, mut to: schema::news::Builder<'_>) {
-    to.set_vm(news.peer.vm.as_str());
-    to.set_incarnation(news.peer.incarnation.value());
-    to.set_round(news.round);
-    to.set_state(write_state(news.state));
-    to.set_suspected(news.suspected);
-    to.set_failure_domain(news.failure_domain.as_str());
-    to.set_callers(&news.callers.to_string()[..]);
-    to.set_peers(&news.peers.to_string()[..]);
-    to.set_strength_per_s(news.capacity.value());
+fn write_update(update: &PeerUpdate, mut to: schema::news::Builder<'_>) {
+    to.set_vm(update.peer.vm.as_str());
+    to.set_incarnation(update.peer.incarnation.value());
+    to.set_round(update.round);
+    to.set_state(write_state(update.state));
+    to.set_suspected(update.suspected);
+    to.set_failure_domain(update.failure_domain.as_str());
+    to.set_callers(&update.callers.to_string()[..]);
+    to.set_peers(&update.peers.to_string()[..]);
+    to.set_strength_per_s(update.capacity.value());
 }
 
 fn write_crash_report(report: &CrashReport, mut to: schema::crash_report::Builder<'_>) {
@@ -205,32 +207,33 @@
 }
 
 /// Wire value for a removed rate limit.
-const NO_RATE_LIMIT: u64 = u64::MAX;
+const REMOVED_RATE_LIMIT: u64 = u64::MAX;
 
 fn write_rate_limit(report: &RateLimitReport, mut to: schema::rate_limit::Builder<'_>) {
     to.set_target(report.target.as_str());
-    to.set_milli_per_s(report.limit.map_or(NO_RATE_LIMIT, RequestRate::milli_per_s));
+    to.set_milli_per_s(report.limit.map_or(REMOVED_RATE_LIMIT, RequestRate::milli_per_s));
     to.set_answered_ms(write_age(Some(report.answered_ago)));
 }
 
 fn read_rate_limit(from: schema::rate_limit::Reader<'_>) -> Result<RateLimitReport> {
     let milli_per_s = from.get_milli_per_s();
     Ok(RateLimitReport {
-        target: TargetId::new(from.get_target()?.to_str()?).map_err(invalid)?,
-        limit: (milli_per_s != NO_RATE_LIMIT).then(|| RequestRate::from_milli_per_s(milli_per_s)),
+        target: TargetId::new(from.get_target()?.to_str()?).map_err(to_capnp_error)?,
+        limit: (milli_per_s != REMOVED_RATE_LIMIT)
+            .then(|| RequestRate::from_milli_per_s(milli_per_s)),
         answered_ago: Duration::from_millis(from.get_answered_ms().into()),
     })
 }
 
-/// An age that is not known.
-const NO_AGE_MS: u32 = u32::MAX;
+/// Wire value for an unknown age.
+const UNKNOWN_AGE_MS: u32 = u32::MAX;
 
 fn write_age(age: Option<Duration>) -> u32 {
-    age.map_or(NO_AGE_MS, |age| u32::try_from(age.as_millis()).unwrap_or(NO_AGE_MS))
+    age.map_or(UNKNOWN_AGE_MS, |age| u32::try_from(age.as_millis()).unwrap_or(UNKNOWN_AGE_MS))
 }
 
 fn read_age(age_ms: u32) -> Option<Duration> {
-    (age_ms != NO_AGE_MS).then(|| Duration::from_millis(age_ms.into()))
+    (age_ms != UNKNOWN_AGE_MS).then(|| Duration::from_millis(age_ms.into()))
 }
 
 fn write_state(state: PeerState) -> schema::heartbeat::State {
@@ -252,11 +255,11 @@
 pub(crate) fn read_heartbeat(from: schema::heartbeat::Reader<'_>) -> Result<Heartbeat> {
     Ok(Heartbeat {
         state: read_state(from.get_state()?),
-        failure_domain: from.get_failure_domain()?.to_str()?.parse().map_err(invalid)?,
-        callers: from.get_callers()?.to_str()?.parse().map_err(invalid)?,
-        peers: from.get_peers()?.to_str()?.parse().map_err(invalid)?,
+        failure_domain: from.get_failure_domain()?.to_str()?.parse().map_err(to_capnp_error)?,
+        callers: from.get_callers()?.to_str()?.parse().map_err(to_capnp_error)?,
+        peers: from.get_peers()?.to_str()?.parse().map_err(to_capnp_error)?,
         round: from.get_round(),
-        updates: from.get_news()?.iter().map(read_news).collect::<Result<_>>()?,
+        updates: from.get_news()?.iter().map(read_update).collect::<Result<_>>()?,
         seen_revision: Revision::new(from.get_seen_revision()),
         synced_revision: Revision::new(from.get_synced_revision()),
         lists_digest: ListsDigest::new(from.get_lists_digest()),
@@ -277,21 +280,21 @@
     })
 }
 
-fn read_news(from: schema::news::Reader<'_>) -> Result<PeerUpdate> {
+fn read_update(from: schema::news::Reader<'_>) -> Result<PeerUpdate> {
     Ok(PeerUpdate {
-        peer: peer_id(from.get_vm()?, from.get_incarnation())?,
+        peer: read_peer_id(from.get_vm()?, from.get_incarnation())?,
         round: from.get_round(),
         state: read_state(from.get_state()?),
         suspected: from.get_suspected(),
-        failure_domain: from.get_failure_domain()?.to_str()?.parse().map_err(invalid)?,
-        callers: from.get_callers()?.to_str()?.parse().map_err(invalid)?,
-        peers: from.get_peers()?.to_str()?.parse().map_err(invalid)?,
+        failure_domain: from.get_failure_domain()?.to_str()?.parse().map_err(to_capnp_error)?,
+        callers: from.get_callers()?.to_str()?.parse().map_err(to_capnp_error)?,
+        peers: from.get_peers()?.to_str()?.parse().map_err(to_capnp_error)?,
         capacity: PerSecond::new(from.get_strength_per_s()),
     })
 }
 
 fn read_load(from: schema::load_hint::Reader<'_>) -> Result<LoadHint> {
-    let target = TargetId::new(from.get_target()?.to_str()?).map_err(invalid)?;
+    let target = TargetId::new(from.get_target()?.to_str()?).map_err(to_capnp_error)?;
     let load = Permille::new(from.get_load_permille());
     Ok(LoadHint { target, load, age_ms: from.get_age_ms() })
 }
@@ -303,7 +306,7 @@
         to.set_bundle(&bundle.content);
         to.set_unpacked_bundle_bytes(unpacked_bytes(bundle.unpacked_size));
     }
-    write_values(&changes.values, to.init_values(length(changes.values.len())));
+    write_values(&changes.values, to.init_values(list_length(changes.values.len())));
 }
 
 fn write_values(
@@ -320,18 +323,18 @@
     }
 }
 
-/// Encodes values for a [`Bundle`].
+/// Encodes values for a [`Bundle`]; the result is not packed yet.
 pub fn encode_values(values: &[ValueChange]) -> Vec<u8> {
     let mut message = capnp::message::Builder::new_default();
     let to = message.init_root::<schema::values::Builder<'_>>();
-    write_values(values, to.init_values(length(values.len())));
+    write_values(values, to.init_values(list_length(values.len())));
     capnp::serialize::write_message_to_words(&message)
 }
 
-/// Undoes [`encode_values`].
+/// Decodes the output of [`encode_values`].
 ///
 /// # Errors
-/// When these are no encoded values.
+/// Returns an error if `content` is not a valid encoding of values.
 pub fn decode_values(content: &[u8]) -> std::result::Result<Vec<ValueChange>, PeerError> {
     let options = capnp::message::ReaderOptions::new();
     let message = capnp::serialize::read_message(&mut &content[..], options)?;
@@ -375,7 +378,7 @@
     to.set_secret(ledger.secret.bytes());
     to.set_sealed_at_us(ledger.sealed_at.as_micros());
     to.set_session_lifetime_ms(millis(ledger.session_lifetime));
-    let mut sessions = to.init_sessions(length(ledger.sessions.len()));
+    let mut sessions = to.init_sessions(list_length(ledger.sessions.len()));
     for (index, session) in (0..).zip(&ledger.sessions) {
         write_session(session, sessions.reborrow().get(index));
     }
@@ -383,13 +386,13 @@
 
 fn write_session(session: &SealedSession, mut to: schema::sealed_session::Builder<'_>) {
     to.set_serial(session.serial);
-    let mut operations = to.init_operations(length(session.operations.len()));
+    let mut operations = to.init_operations(list_length(session.operations.len()));
     for (index, operation) in (0..).zip(&session.operations) {
         let mut item = operations.reborrow().get(index);
         item.set_key(operation.key.as_str());
         let mut end = item.init_end();
         match &operation.outcome {
-            SealedOutcome::Kept(kept) => write_kept(kept, end.init_kept()),
+            SealedOutcome::Kept(kept) => write_kept_answer(kept, end.init_kept()),
             SealedOutcome::Ran => end.set_ran(()),
             SealedOutcome::NotRun => end.set_not_run(()),
             SealedOutcome::MayHaveRun => end.set_may_have_run(()),
@@ -403,7 +406,7 @@
         .try_into()
         .map_err(|_| Error::failed("secret of wrong length".to_owned()))?;
     Ok(SealedLedger {
-        vm: from.get_vm()?.to_str()?.parse().map_err(invalid)?,
+        vm: from.get_vm()?.to_str()?.parse().map_err(to_capnp_error)?,
         incarnation: Incarnation::new(from.get_incarnation()),
         secret: Secret::new(secret),
         sealed_at: Mono::from_micros(from.get_sealed_at_us()),
@@ -413,15 +416,16 @@
 }
 
 fn read_session(from: schema::sealed_session::Reader<'_>) -> Result<SealedSession> {
-    let operations = from.get_operations()?.iter().map(read_sealed).collect::<Result<_>>()?;
+    let operations =
+        from.get_operations()?.iter().map(read_sealed_operation).collect::<Result<_>>()?;
     Ok(SealedSession { serial: from.get_serial(), operations })
 }
 
-fn read_sealed(from: schema::sealed_operation::Reader<'_>) -> Result<SealedOperation> {
+fn read_sealed_operation(from: schema::sealed_operation::Reader<'_>) -> Result<SealedOperation> {
     use schema::sealed_operation::end::Which;
-    let key = IdempotencyKey::new(from.get_key()?.to_str()?).map_err(invalid)?;
+    let key = IdempotencyKey::new(from.get_key()?.to_str()?).map_err(to_capnp_error)?;
     let outcome = match from.get_end().which()? {
-        Which::Kept(kept) => SealedOutcome::Kept(read_kept(kept?)?),
+        Which::Kept(kept) => SealedOutcome::Kept(read_kept_answer(kept?)?),
         Which::Ran(()) => SealedOutcome::Ran,
         Which::NotRun(()) => SealedOutcome::NotRun,
         Which::MayHaveRun(()) => SealedOutcome::MayHaveRun,
--- a/crates/peer/tests/peer.rs
+++ b/crates/peer/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Calls between two processes, in one `LocalSet` over loopback TCP.
+//! Calls between a client and a server in one `LocalSet` over loopback TCP.
 #![allow(clippy::unwrap_used)]
 
 use std::cell::{Cell, RefCell};
@@ -27,20 +27,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
 
-/// Answers what the test laid out, and notes what it was told.
-struct Fake {
+/// Handler that returns preset responses and records the calls it receives.
+struct FakeHandler {
     answer: RefCell<ClaimAnswer>,
-    /// `None` while it is busy.
+    /// Response to `changes`; `None` while the handler is busy.
     changes: Option<Changes>,
     session: Session,
     calls: RefCell<Vec<String>>,
-    parts: RefCell<Vec<LedgerPart>>,
-    refused: Cell<usize>,
-    hangs: Cell<bool>,
+    received_parts: RefCell<Vec<LedgerPart>>,
+    rejected_handshakes: Cell<usize>,
+    is_unresponsive: Cell<bool>,
 }
 
-impl Fake {
-    fn note(&self, call: String) {
+impl FakeHandler {
+    fn record(&self, call: String) {
         self.calls.borrow_mut().push(call);
     }
 
@@ -49,21 +49,26 @@
     }
 }
 
-impl PeerHandler for Fake {
+impl PeerHandler for FakeHandler {
     fn handshake_rejected(&self, _from: SocketAddr) {
-        self.refused.set(self.refused.get() + 1);
+        self.rejected_handshakes.set(self.rejected_handshakes.get() + 1);
     }
 
-    async fn heartbeat(&self, from: &PeerId, beat: Heartbeat) -> Heartbeat {
-        self.note(format!("heartbeat {}", from.vm));
-        beat
+    async fn heartbeat(&self, from: &PeerId, heartbeat: Heartbeat) -> Heartbeat {
+        self.record(format!("heartbeat {}", from.vm));
+        heartbeat
     }
 
     async fn claim(&self, operation: OperationId, claim: ClaimId) -> ClaimAnswer {
-        if self.hangs.get() {
+        if self.is_unresponsive.get() {
             std::future::pending::<()>().await;
         }
-        self.note(format!("claim {} by {} {}", operation.key(), claim.executor(), claim.number()));
+        self.record(format!(
+            "claim {} by {} {}",
+            operation.key(),
+            claim.executor(),
+            claim.number()
+        ));
         self.answer()
     }
 
@@ -77,12 +82,12 @@
             Completion::Ran(kept) => format!("ran {}", kept.status),
             other => format!("{other:?}"),
         };
-        self.note(format!("complete {} by {}: {kind}", operation.key(), claim.executor()));
+        self.record(format!("complete {} by {}: {kind}", operation.key(), claim.executor()));
         CompletionAnswer::Recorded
     }
 
     async fn close(&self, operation: OperationId, claim: ClaimId) -> ClaimAnswer {
-        self.note(format!("close {} by {}", operation.key(), claim.executor()));
+        self.record(format!("close {} by {}", operation.key(), claim.executor()));
         self.answer()
     }
 
@@ -94,24 +99,24 @@
         Some(self.session.clone())
     }
 
-    async fn changes(&self, asked: ChangesRequest) -> Option<Changes> {
-        self.note(format!("changes after {}", asked.after));
+    async fn changes(&self, request: ChangesRequest) -> Option<Changes> {
+        self.record(format!("changes after {}", request.after));
         self.changes.clone()
     }
 
     async fn push(&self, from: &PeerId, changes: Changes) {
-        self.note(format!("push from {} of {}", from.vm, changes.values.len()));
+        self.record(format!("push from {} of {}", from.vm, changes.values.len()));
     }
 
     async fn handoff(&self, _from: &PeerId, part: LedgerPart) -> bool {
-        self.parts.borrow_mut().push(part);
+        self.received_parts.borrow_mut().push(part);
         true
     }
 }
 
 struct Setup {
     config: PeerConfig,
-    fake: Rc<Fake>,
+    handler: Rc<FakeHandler>,
     endpoint: Endpoint,
     server: tokio::task::JoinHandle<()>,
 }
@@ -124,20 +129,20 @@
     async fn with_config(config: PeerConfig) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let endpoint = Endpoint::new(listener.local_addr().unwrap());
-        let fake = Rc::new(Fake {
+        let handler = Rc::new(FakeHandler {
             answer: RefCell::new(ClaimAnswer::Granted),
             changes: Some(changes()),
             session: operation("k").session().clone(),
             calls: RefCell::default(),
-            parts: RefCell::default(),
-            refused: Cell::new(0),
-            hangs: Cell::new(false),
+            received_parts: RefCell::default(),
+            rejected_handshakes: Cell::new(0),
+            is_unresponsive: Cell::new(false),
         });
-        let own = PeerId::new(VmId::new("server").unwrap(), Incarnation::new(1));
-        let handler = Rc::clone(&fake);
-        let server = PeerServer::new(listener, key(b'k'), own, config.clone(), handler);
+        let own_id = PeerId::new(VmId::new("server").unwrap(), Incarnation::new(1));
+        let server_handler = Rc::clone(&handler);
+        let server = PeerServer::new(listener, key(b'k'), own_id, config.clone(), server_handler);
         let server = tokio::task::spawn_local(server.serve());
-        Self { config, fake, endpoint, server }
+        Self { config, handler, endpoint, server }
     }
 
     async fn connect(&self, key: &PeerKey) -> Result<PeerClient, PeerError> {
@@ -145,7 +150,7 @@
     }
 }
 
-fn run(test: impl Future<Output = ()>) {
+fn run_local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, test);
 }
@@ -185,12 +190,12 @@
     }
 }
 
-fn kept() -> Arc<KeptAnswer> {
+fn kept_answer() -> Arc<KeptAnswer> {
     let header = HeaderField { name: "x".to_owned(), value: vec![0xff, 0x00] };
     Arc::new(KeptAnswer { status: 201, headers: vec![header], body: b"order 1".to_vec() })
 }
 
-fn news() -> PeerUpdate {
+fn peer_update() -> PeerUpdate {
     PeerUpdate {
         peer: PeerId::new(VmId::new("vm-9").unwrap(), Incarnation::new(9)),
         round: 2,
@@ -225,7 +230,7 @@
         callers: "127.0.0.1:8080".parse().unwrap(),
         peers: "127.0.0.1:8081".parse().unwrap(),
         round: 3,
-        updates: vec![news()],
+        updates: vec![peer_update()],
         seen_revision: Revision::new(9),
         synced_revision: Revision::new(8),
         lists_digest: ListsDigest::new(7),
@@ -251,17 +256,17 @@
 }
 
 #[test]
-fn every_call_carries_its_message_there_and_back() {
-    run(async {
+fn calls_round_trip_messages() {
+    run_local(async {
         let setup = Setup::new().await;
         let client = setup.connect(&key(b'k')).await.unwrap();
         assert_eq!("server", client.peer().vm.as_str());
         assert_eq!(heartbeat(), client.heartbeat(&heartbeat()).await.unwrap());
         assert_eq!(changes(), client.changes(Revision::new(6)).await.unwrap());
         client.push(&changes()).await.unwrap();
-        assert_eq!(Some(setup.fake.session.clone()), client.issue().await.unwrap());
+        assert_eq!(Some(setup.handler.session.clone()), client.issue().await.unwrap());
         let completions = [
-            Completion::Ran(kept()),
+            Completion::Ran(kept_answer()),
             Completion::RanUnkept,
             Completion::NotRun,
             Completion::MayHaveRun,
@@ -270,19 +275,19 @@
             let actual = client.complete(&operation("k"), 3, &completion).await.unwrap();
             assert_eq!(CompletionAnswer::Recorded, actual);
         }
-        insta::assert_snapshot!(setup.fake.calls.borrow().join("\n"));
+        insta::assert_snapshot!(setup.handler.calls.borrow().join("\n"));
     });
 }
 
 #[test]
-fn every_claim_answer_survives_the_wire() {
-    run(async {
+fn claim_answers_round_trip() {
+    run_local(async {
         let setup = Setup::new().await;
         let client = setup.connect(&key(b'k')).await.unwrap();
         let answers = [
             ClaimAnswer::Granted,
             ClaimAnswer::InProgress,
-            ClaimAnswer::Kept(kept()),
+            ClaimAnswer::Kept(kept_answer()),
             ClaimAnswer::Ran,
             ClaimAnswer::NotRun,
             ClaimAnswer::MayHaveRun,
@@ -290,7 +295,7 @@
             ClaimAnswer::BadSession,
         ];
         for expected in answers {
-            setup.fake.answer.replace(expected.clone());
+            setup.handler.answer.replace(expected.clone());
             assert_eq!(expected, client.claim(&operation("k"), 1).await.unwrap());
             assert_eq!(expected, client.close(&operation("k"), 1).await.unwrap());
             assert_eq!(Some(expected), client.lookup(&operation("held")).await.unwrap());
@@ -300,21 +305,21 @@
 }
 
 #[test]
-fn a_ledger_is_handed_over_part_by_part() {
-    run(async {
+fn handoff_transfers_ledger_in_parts() {
+    run_local(async {
         let setup = Setup::new().await;
         let client = setup.connect(&key(b'k')).await.unwrap();
         let vm = VmId::new("departed").unwrap();
         let mut issuer =
             Issuer::new(vm, Incarnation::new(2), Secret::new([1; 32]), OnceConfig::new());
         let session = issuer.issue(Mono::ZERO);
-        let ends = [
-            ("kept", Completion::Ran(kept())),
+        let completions = [
+            ("kept", Completion::Ran(kept_answer())),
             ("ran", Completion::RanUnkept),
             ("not-run", Completion::NotRun),
             ("may-have-run", Completion::MayHaveRun),
         ];
-        for (name, completion) in ends {
+        for (name, completion) in completions {
             let id = OperationId::new(session.clone(), IdempotencyKey::new(name).unwrap());
             let claim = ClaimId::new(VmId::new("client").unwrap(), Incarnation::new(2), 1);
             issuer.claim(&id, &claim, Mono::ZERO);
@@ -325,32 +330,33 @@
             assert!(client.handoff(part).await.unwrap());
         }
         assert_eq!(4, parts.len());
-        assert_eq!(parts, *setup.fake.parts.borrow());
+        assert_eq!(parts, *setup.handler.received_parts.borrow());
     });
 }
 
-/// A VM of another system, or a stranger on the network, connects to the peer port. Without the
-/// shared key it must reach no function; neither side may take the other for a peer.
+/// Guards against a VM of another system, or any other client on the network, that connects to the
+/// peer port. Without the shared key it must reach no function, and neither side may accept the
+/// other as a peer.
 #[test]
-fn a_wrong_key_is_refused_by_either_side() {
-    run(async {
+fn wrong_key_is_rejected() {
+    run_local(async {
         let setup = Setup::new().await;
         let actual = setup.connect(&key(b'x')).await.unwrap_err();
         assert_eq!(PeerError::Refused, actual);
-        assert!(setup.fake.calls.borrow().is_empty());
+        assert!(setup.handler.calls.borrow().is_empty());
         setup.connect(&key(b'k')).await.unwrap();
     });
 }
 
-/// A peer is paused or cut off after it received a claim: the caller's entry must be told soon,
-/// as its caller waits.
+/// A peer may be paused or cut off after it received a claim. The claiming entry must get an error
+/// quickly, because its caller is waiting.
 #[test]
-fn a_peer_that_does_not_answer_times_out_and_a_lost_one_is_unreachable() {
-    run(async {
+fn unresponsive_peer_times_out_and_lost_peer_is_unreachable() {
+    run_local(async {
         let call_timeout = Duration::from_millis(50);
         let setup = Setup::with_config(PeerConfig { call_timeout, ..PeerConfig::new() }).await;
         let client = setup.connect(&key(b'k')).await.unwrap();
-        setup.fake.hangs.set(true);
+        setup.handler.is_unresponsive.set(true);
         let actual = client.claim(&operation("k"), 1).await.unwrap_err();
         assert_eq!(PeerError::TimedOut, actual);
         setup.server.abort();
@@ -362,11 +368,11 @@
     });
 }
 
-/// Strangers open connections and never prove a key, or send rubbish or a huge message. Each is
-/// cut by the server, and a peer can still connect.
+/// Clients without the key open connections and stay idle, or send garbage or a huge message. The
+/// server must close each of them, and a peer must still be able to connect.
 #[test]
-fn strangers_are_cut_and_do_not_keep_peers_out() {
-    run(async {
+fn unauthenticated_connections_are_closed() {
+    run_local(async {
         let config = PeerConfig {
             handshake_timeout: Duration::from_millis(200),
             connections_max: 4,
@@ -375,23 +381,23 @@
         };
         let setup = Setup::with_config(config).await;
         let huge_message = [&[0, 0, 0, 0, 0, 0, 1, 0][..], &[0; 4096]].concat();
-        for hostile in
+        for payload in
             [Vec::new(), vec![0xff; 64], b"GET / HTTP/1.1\r\n\r\n".to_vec(), huge_message]
         {
             let mut stream = TcpStream::connect(setup.endpoint.address()).await.unwrap();
-            stream.write_all(&hostile).await.unwrap();
+            stream.write_all(&payload).await.unwrap();
             let mut answer = Vec::new();
             let end = tokio::time::timeout(Duration::from_secs(5), stream.read_to_end(&mut answer));
-            assert!(end.await.is_ok(), "not cut after {} bytes", hostile.len());
+            assert!(end.await.is_ok(), "not closed after {} bytes", payload.len());
         }
         setup.connect(&key(b'k')).await.unwrap();
-        assert!(setup.fake.calls.borrow().is_empty());
+        assert!(setup.handler.calls.borrow().is_empty());
     });
 }
 
 #[test]
 fn connections_are_bounded() {
-    run(async {
+    run_local(async {
         let setup =
             Setup::with_config(PeerConfig { connections_max: 1, ..PeerConfig::new() }).await;
         let first = setup.connect(&key(b'k')).await.unwrap();
@@ -402,7 +408,7 @@
 }
 
 #[test]
-fn a_short_key_is_refused() {
+fn short_key_is_rejected() {
     assert!(PeerKey::new(b"0123456789abcde\n").is_err());
     assert!(PeerKey::new(b"0123456789abcdef\n").is_ok());
 }
--- a/crates/peer/tests/stranger.rs
+++ b/crates/peer/tests/unauthenticated_client.rs
@@ -1,4 +1,4 @@
-//! A stranger that speaks the protocol but does not have the key.
+//! Client that speaks the protocol but does not have the shared key.
 #![allow(clippy::unwrap_used)]
 
 use std::cell::Cell;
@@ -23,23 +23,23 @@
 #[path = "../src/peer_capnp.rs"]
 mod peer_capnp;
 
-/// No function may be reached.
+/// Handler whose functions must not be reached.
 #[derive(Default)]
-struct Closed {
-    refused: Cell<usize>,
+struct UnreachableHandler {
+    rejected_handshakes: Cell<usize>,
 }
 
-impl PeerHandler for Closed {
+impl PeerHandler for UnreachableHandler {
     fn handshake_rejected(&self, _from: SocketAddr) {
-        self.refused.set(self.refused.get() + 1);
+        self.rejected_handshakes.set(self.rejected_handshakes.get() + 1);
     }
 
-    async fn heartbeat(&self, _from: &PeerId, _beat: Heartbeat) -> Heartbeat {
-        unreachable!("heartbeat by a stranger")
+    async fn heartbeat(&self, _from: &PeerId, _heartbeat: Heartbeat) -> Heartbeat {
+        unreachable!("heartbeat from an unauthenticated client")
     }
 
     async fn claim(&self, _operation: OperationId, _claim: ClaimId) -> ClaimAnswer {
-        unreachable!("claim by a stranger")
+        unreachable!("claim from an unauthenticated client")
     }
 
     async fn complete(
@@ -48,46 +48,46 @@
         _claim: ClaimId,
         _completion: Completion,
     ) -> CompletionAnswer {
-        unreachable!("completion by a stranger")
+        unreachable!("completion from an unauthenticated client")
     }
 
     async fn close(&self, _operation: OperationId, _claim: ClaimId) -> ClaimAnswer {
-        unreachable!("close by a stranger")
+        unreachable!("close from an unauthenticated client")
     }
 
     async fn lookup(&self, _operation: OperationId) -> Option<ClaimAnswer> {
-        unreachable!("lookup by a stranger")
+        unreachable!("lookup from an unauthenticated client")
     }
 
     async fn issue(&self) -> Option<Session> {
-        unreachable!("issue to a stranger")
+        unreachable!("issue to an unauthenticated client")
     }
 
-    async fn changes(&self, _asked: ChangesRequest) -> Option<Changes> {
-        unreachable!("changes to a stranger")
+    async fn changes(&self, _request: ChangesRequest) -> Option<Changes> {
+        unreachable!("changes to an unauthenticated client")
     }
 
     async fn push(&self, _from: &PeerId, _changes: Changes) {
-        unreachable!("push by a stranger")
+        unreachable!("push from an unauthenticated client")
     }
 
     async fn handoff(&self, _from: &PeerId, _part: LedgerPart) -> bool {
-        unreachable!("handoff by a stranger")
+        unreachable!("handoff from an unauthenticated client")
     }
 }
 
-/// A stranger skips checking the server and answers its challenge without the key: by rubbish, or
-/// by sending the server's own proof back. Neither may give it a function to call.
+/// Guards against a client without the key that skips the check of the server's proof and sends an
+/// invalid proof, or reflects the server's own. Neither may grant it the peer capability.
 #[test]
-fn a_proof_made_without_the_key_gives_no_function() {
+fn invalid_proof_grants_no_capability() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let handler = Rc::new(Closed::default());
+        let handler = Rc::new(UnreachableHandler::default());
         let key = PeerKey::new(&[1; 32]).unwrap();
-        let own = PeerId::new(VmId::new("server").unwrap(), Incarnation::new(1));
-        let server = PeerServer::new(listener, key, own, PeerConfig::new(), Rc::clone(&handler));
+        let own_id = PeerId::new(VmId::new("server").unwrap(), Incarnation::new(1));
+        let server = PeerServer::new(listener, key, own_id, PeerConfig::new(), Rc::clone(&handler));
         tokio::task::spawn_local(server.serve());
 
         let stream = TcpStream::connect(address).await.unwrap();
@@ -101,13 +101,13 @@
         request.get().set_vm("stranger");
         let response = request.send().promise.await.unwrap();
         let results = response.get().unwrap();
-        let own_proof = results.get_proof().unwrap();
-        for proof in [&[][..], &[0; 32], own_proof] {
+        let server_proof = results.get_proof().unwrap();
+        for proof in [&[][..], &[0; 32], server_proof] {
             let mut request = results.get_handshake().unwrap().prove_request();
             request.get().set_proof(proof);
             let response = request.send().promise.await.unwrap();
             assert!(!response.get().unwrap().has_peer());
         }
-        assert_eq!(3, handler.refused.get());
+        assert_eq!(3, handler.rejected_handshakes.get());
     });
 }
