--- a/crates/gateway/src/control/heartbeat_messages.rs
+++ b/crates/gateway/src/control/heartbeat_messages.rs
@@ -3,7 +3,7 @@
 use shallotfork_fleet::{FleetHeartbeat, PlatformAges};
 use shallotfork_measure::RateLimitReport;
 use shallotfork_membership::{Announcement, ListedVm, MemberUpdate};
-use shallotfork_peer::{Heartbeat, PeerId, PeerNews, PeerState, PlatformWord};
+use shallotfork_peer::{Heartbeat, PeerId, PeerState, PeerUpdate, PlatformReport};
 use shallotfork_quarantine::{CrashReport, QuarantineDigest};
 use shallotfork_types::VmId;
 
@@ -38,20 +38,20 @@
         callers: from.listed.callers,
         peers: from.listed.peers,
         round: from.round,
-        news: updates.into_iter().map(peer_update).collect(),
+        updates: updates.into_iter().map(peer_update).collect(),
         seen_revision: position,
         synced_revision: position,
         lists_digest: core_digest,
-        platform_lost: is_disconnected,
+        is_disconnected,
         platform: platform_report(platform),
         domain_entries,
-        behind: is_overloaded,
+        is_overloaded,
         crash_reports,
         quarantine_digest,
         rate_limits: lock(&state.context.rate_limits).reports(state.now()),
         restart_safe: true,
         loads: Vec::new(),
-        strength: from.listed.capacity,
+        capacity: from.listed.capacity,
     }
 }
 
@@ -60,12 +60,12 @@
     let received = FleetHeartbeat {
         from: announcement(peer, heartbeat),
         is_starting: heartbeat.state == PeerState::Starting,
-        updates: heartbeat.news.iter().map(member_update).collect(),
+        updates: heartbeat.updates.iter().map(member_update).collect(),
         core_digest: heartbeat.lists_digest,
-        is_disconnected: heartbeat.platform_lost,
+        is_disconnected: heartbeat.is_disconnected,
         platform: platform_ages(heartbeat.platform),
         domain_entries: heartbeat.domain_entries,
-        is_overloaded: heartbeat.behind,
+        is_overloaded: heartbeat.is_overloaded,
     };
     state.fleet.borrow_mut().receive_heartbeat(&received, state.now());
     update_platform_state(state);
@@ -109,7 +109,7 @@
             callers: heartbeat.callers,
             peers: heartbeat.peers,
             leaving: heartbeat.state == PeerState::Leaving,
-            capacity: heartbeat.strength,
+            capacity: heartbeat.capacity,
         },
         incarnation: peer.incarnation,
         round: heartbeat.round,
@@ -123,41 +123,41 @@
     if is_starting { PeerState::Starting } else { PeerState::Live }
 }
 
-fn platform_report(ages: PlatformAges) -> PlatformWord {
+fn platform_report(ages: PlatformAges) -> PlatformReport {
     let PlatformAges { last_answer, reader_last_seen, outage } = ages;
-    PlatformWord { answered: last_answer, reader_heard: reader_last_seen, away: outage }
+    PlatformReport { last_answer, reader_last_seen, outage }
 }
 
-fn platform_ages(report: PlatformWord) -> PlatformAges {
-    let PlatformWord { answered, reader_heard, away } = report;
-    PlatformAges { last_answer: answered, reader_last_seen: reader_heard, outage: away }
+fn platform_ages(report: PlatformReport) -> PlatformAges {
+    let PlatformReport { last_answer, reader_last_seen, outage } = report;
+    PlatformAges { last_answer, reader_last_seen, outage }
 }
 
-fn peer_update(update: MemberUpdate) -> PeerNews {
+fn peer_update(update: MemberUpdate) -> PeerUpdate {
     let MemberUpdate { about, suspected } = update;
-    PeerNews {
-        about: PeerId::new(about.listed.vm, about.incarnation),
+    PeerUpdate {
+        peer: PeerId::new(about.listed.vm, about.incarnation),
         round: about.round,
         state: peer_state(about.listed.leaving, false),
         suspected,
         failure_domain: about.listed.failure_domain,
         callers: about.listed.callers,
         peers: about.listed.peers,
-        strength: about.listed.capacity,
+        capacity: about.listed.capacity,
     }
 }
 
-fn member_update(update: &PeerNews) -> MemberUpdate {
+fn member_update(update: &PeerUpdate) -> MemberUpdate {
     let about = Announcement {
         listed: ListedVm {
-            vm: update.about.vm.clone(),
+            vm: update.peer.vm.clone(),
             failure_domain: update.failure_domain.clone(),
             callers: update.callers,
             peers: update.peers,
             leaving: update.state == PeerState::Leaving,
-            capacity: update.strength,
+            capacity: update.capacity,
         },
-        incarnation: update.about.incarnation,
+        incarnation: update.peer.incarnation,
         round: update.round,
     };
     MemberUpdate { about, suspected: update.suspected }
--- a/crates/gateway/src/control/heartbeats.rs
+++ b/crates/gateway/src/control/heartbeats.rs
@@ -79,7 +79,8 @@
     let own = build_heartbeat(&state, &client.peer().vm, None);
     match client.heartbeat(&own).await {
         Ok(answer) => {
-            TransferKind::Heartbeats.record_bytes(&answer.failure_domain, client.take_bytes());
+            TransferKind::Heartbeats
+                .record_bytes(&answer.failure_domain, client.take_transferred_bytes());
             receive_heartbeat(&state, client.peer(), &answer);
             if should_pull_from(&state, &answer) {
                 let failure_domain = answer.failure_domain;
--- a/crates/gateway/src/control/pull.rs
+++ b/crates/gateway/src/control/pull.rs
@@ -61,20 +61,22 @@
 async fn pull_from(state: &ControlState, source: &PullSource) -> Result<(), PeerError> {
     let started_at = state.now();
     let after = state.archive.borrow().position();
-    source.client.take_bytes();
+    source.client.take_transferred_bytes();
     let answer = request_changes(state, &source.client, after).await;
-    let bytes = source.client.take_bytes();
+    let bytes = source.client.take_transferred_bytes();
     TransferKind::Pulls.record_bytes(&source.failure_domain, bytes);
     let changes = answer.inspect_err(|error| {
         if *error != PeerError::Busy {
             log_failed_pull(state, source, after, started_at, &error.to_string());
         }
     })?;
-    let Changes { revision, whole, .. } = changes;
+    let Changes { revision, is_snapshot, .. } = changes;
     match apply_response(state, changes) {
-        Ok(items) => {
-            log_pull(state, source, &PullStats { after, started_at, revision, items, bytes, whole })
-        }
+        Ok(items) => log_pull(
+            state,
+            source,
+            &PullStats { after, started_at, revision, items, bytes, whole: is_snapshot },
+        ),
         Err(error) => log_failed_pull(state, source, after, started_at, &error.to_string()),
     }
     Ok(())
--- a/crates/gateway/src/control/pulled_items.rs
+++ b/crates/gateway/src/control/pulled_items.rs
@@ -38,7 +38,7 @@
 /// # Errors
 /// Returns an error if the answer can't be decoded or does not fit the archive.
 pub fn apply_response(state: &ControlState, changes: Changes) -> Result<usize, PullError> {
-    let Changes { revision, mut values, whole, bundle } = changes;
+    let Changes { revision, mut values, is_snapshot, bundle } = changes;
     if let Some(Bundle { content, unpacked_size }) = bundle {
         let content = unpack(&content, unpacked_size)?;
         let bundled = decode_values(&content).map_err(|_| PullError::BadPacked(unpacked_size))?;
@@ -46,9 +46,9 @@
     }
     let items = values.into_iter().map(decode_item).collect::<Result<Vec<_>, _>>()?;
     let count = items.len();
-    let response = PullResponse { changes: FeedChanges { items, revision }, is_snapshot: whole };
+    let response = PullResponse { changes: FeedChanges { items, revision }, is_snapshot };
     state.archive.borrow().check(&response)?;
-    if whole {
+    if is_snapshot {
         apply_snapshot(state, &response.changes.items, revision);
     } else {
         apply_changes(state, &response.changes);
--- a/crates/gateway/src/control/serve_pulls.rs
+++ b/crates/gateway/src/control/serve_pulls.rs
@@ -5,7 +5,7 @@
 use metrics::{counter, gauge};
 use shallotfork_events::{ITEMS_TOLD, event};
 use shallotfork_feed::{PACK_MIN_BYTES, PullResponse, RawItem, pack};
-use shallotfork_peer::{Bundle, Changes, ChangesAsked, ValueChange, encode_values};
+use shallotfork_peer::{Bundle, Changes, ChangesRequest, ValueChange, encode_values};
 use shallotfork_types::{Bytes, Revision};
 
 use crate::control::state::ControlState;
@@ -43,14 +43,14 @@
 }
 
 /// Returns the changes after the requested revision; `None` while the uplink is full.
-pub fn answer_pull(state: &ControlState, request: ChangesAsked) -> Option<Changes> {
+pub fn answer_pull(state: &ControlState, request: ChangesRequest) -> Option<Changes> {
     let now = state.now();
     if state.uplink.borrow().is_full(now) {
         state.served_pulls.deferred.set(state.served_pulls.deferred.get() + 1);
         return None;
     }
     let response = state.archive.borrow().changes_after(request.after);
-    let changes = if request.takes_packed {
+    let changes = if request.accepts_packed {
         packed_changes(state, &response)
     } else {
         unpacked_changes(&response)
@@ -72,7 +72,7 @@
     Changes {
         revision: response.changes.revision,
         values,
-        whole: response.is_snapshot,
+        is_snapshot: response.is_snapshot,
         bundle: None,
     }
 }
@@ -91,7 +91,7 @@
     if bundle.is_none() {
         values.extend(small);
     }
-    Changes { revision: changes.revision, values, whole: *is_snapshot, bundle }
+    Changes { revision: changes.revision, values, is_snapshot: *is_snapshot, bundle }
 }
 
 fn is_large(item: &RawItem) -> bool {
