--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -20,7 +20,7 @@
 use crate::line_budget::LineBudget;
 use crate::settings::GatewaySettings;
 use crate::snapshot::{Fleet, Published};
-use crate::traffic::{ProbeCounts, ServiceSlots};
+use crate::traffic::{ProbeCounters, ServiceSlots};
 
 /// Work that waits longer than this for the processor makes callers notice; a busy process has shorter
 /// waits.
@@ -52,7 +52,7 @@
     /// Connections to targets.
     pub links: TargetLinks,
     /// How questions to targets for their load ended.
-    pub probe_counts: ProbeCounts,
+    pub probe_counts: ProbeCounters,
     /// Bytes of bodies held.
     pub bodies: BodyBudget,
     /// Slots of each service.
--- a/crates/gateway/src/control/publish.rs
+++ b/crates/gateway/src/control/publish.rs
@@ -121,7 +121,7 @@
         context.links.forget(id);
         lock(&context.rate_limits).forget(id);
         if matches!(change, RosterChange::Restarted(_)) {
-            context.services.all().iter().for_each(|(_, slots)| slots.restarted(id));
+            context.services.all().iter().for_each(|(_, slots)| slots.reset_target(id));
         }
     }
     publish_routes(state);
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -32,7 +32,8 @@
 use crate::settings::GatewaySettings;
 use crate::snapshot::{Fleet, Published};
 use crate::traffic::{
-    ProbeCounts, directory, front, lateness, may_begin_early, probes, readiness, service_load,
+    ProbeCounters, handle_directory, handle_readiness, handle_request, may_begin_early,
+    monitor_scheduling_delay, report_service_load, run_probes,
 };
 use shallotfork_feed::Feed;
 
@@ -97,7 +98,7 @@
         fleet: ArcSwap::from_pointee(Fleet::default()),
         callers: ServeControl::new(),
         links: TargetLinks::new(LinkConfig::default(), bodies.clone()),
-        probe_counts: ProbeCounts::default(),
+        probe_counts: ProbeCounters::default(),
         bodies,
         services: Services::default(),
         waits: Arc::new(Notify::new()),
@@ -160,21 +161,27 @@
     let mut stop = Stop::new()?;
     tokio::spawn(follow_settings(Arc::clone(&context), control.clone(), reload)?);
     let shared = Arc::clone(&context);
-    serve_aside(listeners.readiness, make_sync(move |request| readiness(&shared, &request)))?;
+    serve_aside(
+        listeners.readiness,
+        make_sync(move |request| handle_readiness(&shared, &request)),
+    )?;
     let shared = Arc::clone(&context);
-    serve_aside(listeners.directory, make_sync(move |request| directory(&shared, &request)))?;
+    serve_aside(
+        listeners.directory,
+        make_sync(move |request| handle_directory(&shared, &request)),
+    )?;
     serve_aside(listeners.metrics, make_sync(move |_| metrics.render()))?;
     let callers = context.callers.clone();
     let shared = Arc::clone(&context);
-    let endpoint = make(move |request| front(Arc::clone(&shared), request));
+    let endpoint = make(move |request| handle_request(Arc::clone(&shared), request));
     let listener = TcpListener::from_std(listeners.callers)?;
     let shared = Arc::clone(&context);
     let early = Arc::new(move |head: &http::request::Parts| may_begin_early(&shared, head));
     let config = ServeConfig::default();
     tokio::spawn(serve_early(listener, endpoint, config, callers, early));
-    tokio::spawn(probes(Arc::clone(&context)));
-    tokio::spawn(lateness(Arc::clone(&context)));
-    tokio::spawn(service_load(Arc::clone(&context), TimerService::new(context.clock)));
+    tokio::spawn(run_probes(Arc::clone(&context)));
+    tokio::spawn(monitor_scheduling_delay(Arc::clone(&context)));
+    tokio::spawn(report_service_load(Arc::clone(&context), TimerService::new(context.clock)));
     tokio::select! {
         ready = is_ready.wait_for(|ready| *ready) => drop(ready.context("control has ended")?),
         () = stop.asked() => {
--- a/crates/gateway/src/traffic/directory.rs
+++ b/crates/gateway/src/traffic/directory.rs
@@ -18,7 +18,7 @@
 /// Answers a caller who asks for addresses.
 ///
 /// The answer is kept for a short time, so that callers follow soon when a named entry is lost.
-pub fn directory(context: &Arc<Context>, request: &poem::Request) -> poem::Response {
+pub fn handle_directory(context: &Arc<Context>, request: &poem::Request) -> poem::Response {
     if request.uri().path() != context.dialect.paths.directory {
         return StatusCode::NOT_FOUND.into_response();
     }
@@ -48,7 +48,7 @@
 }
 
 /// Says whether this process takes new work.
-pub fn readiness(context: &Arc<Context>, request: &poem::Request) -> StatusCode {
+pub fn handle_readiness(context: &Arc<Context>, request: &poem::Request) -> StatusCode {
     if request.uri().path() != context.dialect.paths.readiness {
         return StatusCode::NOT_FOUND;
     }
--- a/crates/gateway/src/traffic/front.rs
+++ b/crates/gateway/src/traffic/front.rs
@@ -28,7 +28,7 @@
 const BODY_MAX: Bytes = Bytes::from_mib(8);
 
 /// Answers one request of a caller.
-pub async fn front(context: Arc<Context>, request: poem::Request) -> poem::Response {
+pub async fn handle_request(context: Arc<Context>, request: poem::Request) -> poem::Response {
     let arrived = arrived(&context, &request);
     let Some(caller) = request.extensions().get::<CallerPresence>().cloned() else {
         return bad_request("the request came on no connection");
--- a/crates/gateway/src/traffic/lateness.rs
+++ b/crates/gateway/src/traffic/lateness.rs
@@ -12,7 +12,7 @@
 ///
 /// Only while requests are served: most entries of a large fleet serve none, and would wake up for
 /// nothing.
-pub async fn lateness(context: Arc<Context>) {
+pub async fn monitor_scheduling_delay(context: Arc<Context>) {
     loop {
         if context.callers.in_flight() == 0 {
             context.begins.notified().await;
--- a/crates/gateway/src/traffic/probe_counts.rs
+++ b/crates/gateway/src/traffic/probe_counts.rs
@@ -13,12 +13,12 @@
 
 /// The counters behind [`Probes`].
 #[derive(Debug, Default)]
-pub struct ProbeCounts {
+pub struct ProbeCounters {
     asked: AtomicU64,
     silent: AtomicU64,
 }
 
-impl ProbeCounts {
+impl ProbeCounters {
     /// A target is asked.
     pub fn asked(&self) {
         self.asked.fetch_add(1, Ordering::Relaxed);
--- a/crates/gateway/src/traffic/probes.rs
+++ b/crates/gateway/src/traffic/probes.rs
@@ -31,7 +31,7 @@
 ///
 /// Looks only while requests wait: most entries of a large fleet serve none, and would wake up eighty
 /// times a second for nothing.
-pub async fn probes(context: Arc<Context>) {
+pub async fn run_probes(context: Arc<Context>) {
     loop {
         let services = context.services.all();
         if services.iter().all(|(_, slots)| !slots.has_waiting()) {
--- a/crates/gateway/src/traffic/service_load.rs
+++ b/crates/gateway/src/traffic/service_load.rs
@@ -19,7 +19,7 @@
 const EVERY: Duration = Duration::from_secs(1);
 
 /// Reports for as long as the process runs.
-pub async fn service_load(context: Arc<Context>, timer: TimerService) {
+pub async fn report_service_load(context: Arc<Context>, timer: TimerService) {
     let mut ticks = timer.subscribe(Schedule::new(EVERY));
     let mut counts = TargetCounts::default();
     while ticks.tick().await.is_some() {
--- a/crates/gateway/src/traffic/service_slots.rs
+++ b/crates/gateway/src/traffic/service_slots.rs
@@ -204,7 +204,7 @@
     }
 
     /// Forgets what is known of a target that has started again.
-    pub fn restarted(&self, target: &TargetId) {
+    pub fn reset_target(&self, target: &TargetId) {
         let now = self.clock.now();
         self.lock().pool.reset_target(target, now);
     }
