--- a/crates/gateway/src/traffic/judge.rs
+++ b/crates/gateway/src/traffic/attempt_outcome.rs
@@ -1,4 +1,4 @@
-//! What a target's answer, or the lack of one, says.
+//! Classifies the result of an attempt at a target.
 
 use http::StatusCode;
 use http::header::CONTENT_ENCODING;
@@ -8,58 +8,61 @@
 
 use crate::dialect::Dialect;
 
-/// How one attempt ended, for the request that made it.
+/// Outcome of one attempt, as it affects the request.
 #[derive(Debug)]
-pub enum AttemptEnd {
-    /// An answer to pass on.
+pub enum AttemptOutcome {
+    /// The target's answer, to be forwarded to the caller.
     Answered(WholeAnswer),
-    /// A server error of the target's own: the request ran and failed.
-    Errored(WholeAnswer),
-    /// Nothing was sent: no connection could be opened.
-    Unreached,
-    /// The target said that it has not run the request and never will.
+    /// The target answered with a server error: the request ran and failed.
+    ServerError(WholeAnswer),
+    /// The request was not sent, for example because no connection could be opened.
+    NotSent,
+    /// The target reported that it has not run the request and will not run it.
     NotRun,
-    /// No answer to pass on, and the request may have run.
+    /// There is no answer to forward, and the request may have run.
     Lost,
 }
 
-/// Sorts the result of an attempt.
+/// Classifies the result of an attempt.
 ///
-/// Only a target's own word, by the platform's header or by 421, says that a request which was
-/// sent has not run. An unsigned success is not the target's whole answer.
-pub fn attempt_end(dialect: &Dialect, result: Result<WholeAnswer, AttemptFailure>) -> AttemptEnd {
+/// A request that was sent counts as not run only if the target reports it, by the platform's
+/// header or by status 421. An unsigned success is not the target's complete answer.
+pub fn classify_attempt(
+    dialect: &Dialect,
+    result: Result<WholeAnswer, AttemptFailure>,
+) -> AttemptOutcome {
     let answer = match result {
         Ok(answer) => answer,
-        Err(failure) if failure.verdict() == Verdict::NotRun => return AttemptEnd::Unreached,
-        Err(_) => return AttemptEnd::Lost,
+        Err(failure) if failure.verdict() == Verdict::NotRun => return AttemptOutcome::NotSent,
+        Err(_) => return AttemptOutcome::Lost,
     };
-    if says_not_run(dialect, &answer) {
-        return AttemptEnd::NotRun;
+    if reports_not_run(dialect, &answer) {
+        return AttemptOutcome::NotRun;
     }
-    let signed = answer.headers.contains_key(&dialect.headers.signature);
-    let encoded = answer.headers.contains_key(CONTENT_ENCODING);
-    if answer.status.is_success() && (!signed || encoded) {
-        return AttemptEnd::Lost;
+    let is_signed = answer.headers.contains_key(&dialect.headers.signature);
+    let is_encoded = answer.headers.contains_key(CONTENT_ENCODING);
+    if answer.status.is_success() && (!is_signed || is_encoded) {
+        return AttemptOutcome::Lost;
     }
     if answer.status.is_server_error() {
-        return AttemptEnd::Errored(answer);
+        return AttemptOutcome::ServerError(answer);
     }
-    AttemptEnd::Answered(answer)
+    AttemptOutcome::Answered(answer)
 }
 
-fn says_not_run(dialect: &Dialect, answer: &WholeAnswer) -> bool {
+fn reports_not_run(dialect: &Dialect, answer: &WholeAnswer) -> bool {
     answer.headers.contains_key(&dialect.headers.not_run)
         || answer.status == StatusCode::MISDIRECTED_REQUEST
 }
 
-/// Whether the connection failed before the whole answer was read, as it does when the target
+/// Whether the connection failed before the whole answer was read, as happens when the target
 /// crashes.
 pub fn target_may_have_crashed(result: &Result<WholeAnswer, AttemptFailure>) -> bool {
     let cause = result.as_ref().err().map(AttemptFailure::cause);
     matches!(cause, Some(FailureCause::ConnectionLost | FailureCause::AnswerIncomplete))
 }
 
-/// What the attempt says about its target.
+/// Returns the outcome that the slot pool records for the target.
 pub fn slot_outcome(
     dialect: &Dialect,
     result: &Result<WholeAnswer, AttemptFailure>,
@@ -67,7 +70,7 @@
 ) -> SlotOutcome {
     match result {
         Ok(answer) if answer.status == StatusCode::MISDIRECTED_REQUEST => SlotOutcome::Misdirected,
-        Ok(answer) if says_not_run(dialect, answer) => SlotOutcome::Full,
+        Ok(answer) if reports_not_run(dialect, answer) => SlotOutcome::Full,
         Ok(answer) if answer.status.is_server_error() => SlotOutcome::Failed,
         Ok(_) => SlotOutcome::Answered { latency },
         Err(failure) => match failure.cause() {
@@ -81,8 +84,8 @@
     }
 }
 
-/// The load that a target reported with its answer; one that can't be read counts as none.
-pub fn figures(dialect: &Dialect, answer: &WholeAnswer) -> Option<TargetLoad> {
+/// Returns the load that a target reported with its answer; `None` if it is missing or invalid.
+pub fn parse_reported_load(dialect: &Dialect, answer: &WholeAnswer) -> Option<TargetLoad> {
     let text = answer.headers.get(&dialect.headers.load)?.to_str().ok()?;
     (dialect.load_figures)(text)
 }
--- a/crates/gateway/src/traffic/attempts.rs
+++ b/crates/gateway/src/traffic/attempts.rs
@@ -17,288 +17,308 @@
 
 use crate::carried::{Carried, message_bytes};
 use crate::context::Context;
-use crate::traffic::job::Job;
-use crate::traffic::judge::{
-    AttemptEnd, attempt_end, figures, slot_outcome, target_may_have_crashed,
+use crate::traffic::attempt_outcome::{
+    AttemptOutcome, classify_attempt, parse_reported_load, slot_outcome, target_may_have_crashed,
 };
-use crate::traffic::probes::{Probed, probe};
-use crate::traffic::quarantine::{begin_run, is_clear, note_answer, note_crash};
-use crate::traffic::rate_limit::note_rate_limit;
-use crate::traffic::service_slots::{Assigned, ServiceSlots};
+use crate::traffic::probes::{ProbeResult, probe};
+use crate::traffic::quarantine::{begin_run, is_clear, record_answer, record_crash};
+use crate::traffic::rate_limit::record_rate_limit;
+use crate::traffic::routed_request::RoutedRequest;
+use crate::traffic::service_slots::{ServiceSlots, SlotGuard};
 
-/// Targets that may prove to be out of reach before a request is given up. Nothing arrives there,
-/// so that they count against no limit on attempts.
-const UNREACHED_MAX: u32 = 4;
-/// Multiple of the usual time after which a request is sent a second time.
-const HEDGE_FACTOR: f64 = 3.0;
-/// Targets that are asked for their pace before one request is sent without asking.
-const CHECKS_MAX: u32 = 4;
-/// Shortest such time, while little has been measured.
-const HEDGE_AFTER_MIN: Duration = Duration::from_millis(200);
-/// Longest wait for a target's port to refuse a connection after an attempt has failed.
+/// Maximum number of unreachable targets before a request is given up. Nothing is sent to these, so
+/// they do not count towards the route's limit on attempts.
+const UNREACHABLE_TARGETS_MAX: u32 = 4;
+/// Multiple of the usual request time after which a hedge is sent.
+const HEDGE_DELAY_FACTOR: f64 = 3.0;
+/// Maximum number of targets probed for one request before it is sent without a probe.
+const PROBED_TARGETS_MAX: u32 = 4;
+/// Lower bound of the hedge delay, for use while few requests have been measured.
+const HEDGE_DELAY_MIN: Duration = Duration::from_millis(200);
+/// Timeout of the check whether a target's port refuses connections after a failed attempt.
 const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
-/// The part of the fleet's allowance that the active entry takes. Callers are sent to one entry,
-/// and at a change to a second one for as long as they keep an old answer: twice this is less than
-/// the whole.
-const ACTIVE_SHARE: Permille = Permille::new(450);
+/// Share of the fleet's fixed retry allowance for the advertised entries. After a change of the
+/// advertised entry, some callers use the previous one until their cached answer expires, so twice
+/// this share must be less than the whole.
+const ADVERTISED_SHARE: Permille = Permille::new(450);
 
-/// How a request ended.
+/// Outcome of a caller's request.
 #[derive(Debug)]
-pub enum Ended {
-    /// A target's answer.
+pub enum RequestOutcome {
+    /// A target answered.
     Answered(WholeAnswer),
-    /// No slot came in time; nothing was sent.
-    Refused(Shed),
-    /// Nothing that was sent has run.
+    /// No further attempt was admitted; the request has not run at any target.
+    Rejected(Shed),
+    /// The request was not run by any of the targets that it was sent to.
     NotRun(Shed),
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun {
-        /// Whether the time ran out.
+        /// Whether the deadline passed.
         timed_out: bool,
     },
-    /// Its caller left before it was sent, or sent once more.
+    /// The caller disconnected before the request, or another attempt of it, was sent.
     CallerLeft,
 }
 
-/// How a request went, for the log.
+/// Outcome of a request, with the details that are logged.
 #[derive(Debug)]
-pub struct Course {
-    /// How it ended.
-    pub ended: Ended,
-    /// The targets that it was sent to, in order.
+pub struct CompletedRequest {
+    /// Outcome of the request.
+    pub outcome: RequestOutcome,
+    /// Targets that the request was sent to, in order.
     pub tried: Vec<TargetId>,
     /// Time spent waiting for slots.
     pub queued: Duration,
 }
 
-impl Course {
-    /// The process ends before the request does.
-    pub fn cut_short() -> Self {
-        let ended = Ended::MayHaveRun { timed_out: true };
-        Self { ended, tried: Vec::new(), queued: Duration::ZERO }
+impl CompletedRequest {
+    /// Returns the outcome of a request that is still running when the process stops.
+    pub fn interrupted() -> Self {
+        let outcome = RequestOutcome::MayHaveRun { timed_out: true };
+        Self { outcome, tried: Vec::new(), queued: Duration::ZERO }
     }
 
-    /// When the caller is told to come back.
+    /// Returns the delay after which the caller may send the request again.
     pub fn retry_after(&self) -> Option<Duration> {
-        match &self.ended {
-            Ended::Refused(shed) | Ended::NotRun(shed) => Some(shed.retry_after),
-            Ended::Answered(_) | Ended::MayHaveRun { .. } | Ended::CallerLeft => None,
+        match &self.outcome {
+            RequestOutcome::Rejected(shed) | RequestOutcome::NotRun(shed) => Some(shed.retry_after),
+            RequestOutcome::Answered(_)
+            | RequestOutcome::MayHaveRun { .. }
+            | RequestOutcome::CallerLeft => None,
         }
     }
 }
 
-/// Serves a request.
-pub async fn attempts(job: &Job) -> Course {
-    let context = &job.context;
-    let slots = context.slots(&job.service);
-    slots.count_request();
-    let mut trial = Trial::default();
+/// Makes attempts for a request until it is answered or no further attempt is allowed.
+pub async fn run_attempts(routed: &RoutedRequest) -> CompletedRequest {
+    let context = &routed.context;
+    let slots = context.slots(&routed.service);
+    slots.record_request();
+    let mut history = AttemptHistory::default();
     loop {
-        // Refuses a request that may not be sent before it waits for a slot.
-        if let Err(shed) = begin_run(job, trial.next_send_kind()) {
-            return trial.end_refused(shed);
+        // Rejects a request that the quarantine holds back, before it waits for a slot.
+        if let Err(shed) = begin_run(routed, history.next_send_kind()) {
+            return history.complete_without_slot(shed);
         }
-        let asked_at = context.clock.now();
-        let place = checked_place(job, &slots, &trial).await;
-        trial.queued += context.clock.now().since(asked_at);
-        let assigned = match place {
-            Ok(assigned) => assigned,
-            Err(shed) => return trial.end_refused(shed),
+        let requested_at = context.clock.now();
+        let acquired = acquire_probed_slot(routed, &slots, &history).await;
+        history.queued += context.clock.now().since(requested_at);
+        let slot = match acquired {
+            Ok(slot) => slot,
+            Err(shed) => return history.complete_without_slot(shed),
         };
-        if job.caller.has_left() {
-            return trial.end(Ended::CallerLeft);
+        if routed.caller.has_left() {
+            return history.complete(RequestOutcome::CallerLeft);
         }
-        // Checks again: other runs may have started or ended while the request waited.
-        let run = match begin_run(job, trial.next_send_kind()) {
+        // Checks again, since other runs may have started or ended while the request waited.
+        let run = match begin_run(routed, history.next_send_kind()) {
             Ok(run) => run,
-            Err(shed) => return trial.end_refused(shed),
+            Err(shed) => return history.complete_without_slot(shed),
         };
-        let end = attempt_hedged(job, assigned, &mut trial).await;
+        let outcome = send_with_hedge(routed, slot, &mut history).await;
         drop(run);
-        if let AttemptEnd::Answered(answer) = end {
-            note_answer(job);
-            return trial.end(Ended::Answered(answer));
+        if let AttemptOutcome::Answered(answer) = outcome {
+            record_answer(routed);
+            return history.complete(RequestOutcome::Answered(answer));
         }
-        let reached = !matches!(end, AttemptEnd::Unreached);
-        let again = trial.take(end, job)
-            // A connection that could not be opened has brought nothing to any target.
-            && (!reached || slots.try_repeat(repeat_allowance(context)));
-        if !again || job.left(context.clock.now()).is_zero() {
-            return trial.finish(job);
+        let was_sent = !matches!(outcome, AttemptOutcome::NotSent);
+        let may_retry = history.record_outcome(outcome, routed)
+            // An attempt that was not sent loads no target, so its retry needs no allowance.
+            && (!was_sent || slots.try_acquire_retry(retry_allowance(context)));
+        if !may_retry || routed.remaining(context.clock.now()).is_zero() {
+            return history.complete_unanswered(routed);
         }
     }
 }
 
-/// A slot at a target that has just said that it is neither slow nor full.
+/// Acquires a slot at a target that a probe has just found neither slow nor full.
 ///
-/// A request is refused when all targets that were asked are full. Sent to one of them it would wait
-/// there, and with many entries that do so the targets stay full long after a burst.
+/// A request is rejected if all probed targets are full. Otherwise it would queue at one of them,
+/// and with many entries doing so the targets would stay full long after a burst.
 ///
-/// Targets share hosts with neighbours that slow them down for a fraction of a second at a time; a
-/// run keeps the pace at which it began. Reports with earlier answers are too old to tell.
-async fn checked_place(
-    job: &Job,
+/// Targets share hosts with neighbours that slow them down for a fraction of a second at a time,
+/// and a run keeps the slowdown at which it started. Load reports in earlier answers are too old to
+/// detect this, hence the probe.
+async fn acquire_probed_slot(
+    routed: &RoutedRequest,
     slots: &Arc<ServiceSlots>,
-    trial: &Trial,
-) -> Result<Assigned, Shed> {
-    let ask = job.ask(&trial.avoided);
-    let mut full = 0;
-    for _ in 0..CHECKS_MAX {
-        let assigned = slots.admit(ask.clone()).await?;
-        let target = assigned.target().clone();
-        if !slots.wants_check(&target) {
-            return Ok(assigned);
+    history: &AttemptHistory,
+) -> Result<SlotGuard, Shed> {
+    let request = routed.slot_request(&history.excluded);
+    let mut full_count = 0;
+    for _ in 0..PROBED_TARGETS_MAX {
+        let slot = slots.admit(request.clone()).await?;
+        let target = slot.target().clone();
+        if !slots.needs_probe(&target) {
+            return Ok(slot);
         }
-        match probe(&job.context, &job.service, slots, &target).await {
-            Probed::Reported if !assigned.is_unfit(&ask) => return Ok(assigned),
-            Probed::Full => full += 1,
-            Probed::Reported | Probed::Silent => {}
-            Probed::Untold => {
-                slots.untold();
-                return Ok(assigned);
+        match probe(&routed.context, &routed.service, slots, &target).await {
+            ProbeResult::Reported if !slot.is_unfit(&request) => return Ok(slot),
+            ProbeResult::Full => full_count += 1,
+            ProbeResult::Reported | ProbeResult::Unanswered => {}
+            ProbeResult::NoLoad => {
+                slots.record_missing_load();
+                return Ok(slot);
             }
         }
     }
-    if full == CHECKS_MAX
+    if full_count == PROBED_TARGETS_MAX
         && let Some(shed) = slots.shed_full()
     {
         return Err(shed);
     }
-    slots.admit(ask).await
+    slots.admit(request).await
 }
 
-/// What is known so far of a request's attempts.
+/// Attempts made so far for a request.
 #[derive(Debug, Default)]
-struct Trial {
+struct AttemptHistory {
     /// Targets that the request was sent to.
     tried: Vec<TargetId>,
-    /// Targets that must not be chosen again.
-    avoided: Vec<TargetId>,
-    unreached: u32,
+    /// Targets that must not be selected again.
+    excluded: Vec<TargetId>,
+    unreachable_count: u32,
     queued: Duration,
     may_have_run: bool,
-    /// A target's own failure, to be passed on when nothing better comes.
-    error: Option<WholeAnswer>,
+    /// Server error of a target, forwarded to the caller if no later attempt is answered.
+    server_error: Option<WholeAnswer>,
 }
 
-impl Trial {
-    fn start(&mut self, assigned: &Assigned) {
-        self.tried.push(assigned.target().clone());
-        self.avoided.push(assigned.target().clone());
+impl AttemptHistory {
+    fn record_start(&mut self, slot: &SlotGuard) {
+        self.tried.push(slot.target().clone());
+        self.excluded.push(slot.target().clone());
     }
 
     fn next_send_kind(&self) -> SendKind {
         if self.tried.is_empty() { SendKind::First } else { SendKind::Retry }
     }
 
-    /// Whether the route allows one more target.
-    fn has_attempt_left(&self, job: &Job) -> bool {
+    /// Whether the limits allow another attempt.
+    fn has_attempt_left(&self, routed: &RoutedRequest) -> bool {
         let attempts = u32::try_from(self.tried.len()).unwrap_or(u32::MAX);
-        attempts < job.route.attempts_max && self.unreached < UNREACHED_MAX
+        attempts < routed.route.attempts_max && self.unreachable_count < UNREACHABLE_TARGETS_MAX
     }
 
-    /// Takes the end of an attempt without a final answer; whether another may be made.
-    fn take(&mut self, end: AttemptEnd, job: &Job) -> bool {
-        match end {
-            AttemptEnd::Unreached => {
+    /// Records the outcome of an attempt. Returns whether another attempt may be made.
+    fn record_outcome(&mut self, outcome: AttemptOutcome, routed: &RoutedRequest) -> bool {
+        match outcome {
+            AttemptOutcome::NotSent => {
                 self.tried.pop();
-                self.unreached += 1;
+                self.unreachable_count += 1;
             }
-            AttemptEnd::NotRun => {}
-            AttemptEnd::Lost => self.may_have_run = true,
-            AttemptEnd::Errored(answer) => {
+            AttemptOutcome::NotRun => {}
+            AttemptOutcome::Lost => self.may_have_run = true,
+            AttemptOutcome::ServerError(answer) => {
                 self.may_have_run = true;
-                self.error = Some(answer);
+                self.server_error = Some(answer);
             }
-            AttemptEnd::Answered(_) => return false,
+            AttemptOutcome::Answered(_) => return false,
         }
-        self.has_attempt_left(job) && (!self.may_have_run || job.is_repeatable())
+        self.has_attempt_left(routed) && (!self.may_have_run || routed.is_idempotent())
     }
 
-    fn end(self, ended: Ended) -> Course {
-        Course { ended, tried: self.tried, queued: self.queued }
+    fn complete(self, outcome: RequestOutcome) -> CompletedRequest {
+        CompletedRequest { outcome, tried: self.tried, queued: self.queued }
     }
 
-    /// No slot came for the first or a further attempt.
-    fn end_refused(mut self, shed: Shed) -> Course {
-        if let Some(error) = self.error.take() {
-            return self.end(Ended::Answered(error));
+    /// Completes a request whose first or next attempt was not admitted.
+    fn complete_without_slot(mut self, shed: Shed) -> CompletedRequest {
+        if let Some(error) = self.server_error.take() {
+            return self.complete(RequestOutcome::Answered(error));
         }
         if self.may_have_run {
-            return self.end(Ended::MayHaveRun { timed_out: false });
+            return self.complete(RequestOutcome::MayHaveRun { timed_out: false });
         }
-        self.end(Ended::Refused(shed))
+        self.complete(RequestOutcome::Rejected(shed))
     }
 
-    /// No further attempt is made.
-    fn finish(mut self, job: &Job) -> Course {
-        if let Some(error) = self.error.take() {
-            return self.end(Ended::Answered(error));
+    /// Completes a request for which no further attempt is made.
+    fn complete_unanswered(mut self, routed: &RoutedRequest) -> CompletedRequest {
+        if let Some(error) = self.server_error.take() {
+            return self.complete(RequestOutcome::Answered(error));
         }
         if self.may_have_run {
-            let timed_out = job.left(job.context.clock.now()).is_zero();
-            return self.end(Ended::MayHaveRun { timed_out });
+            let timed_out = routed.remaining(routed.context.clock.now()).is_zero();
+            return self.complete(RequestOutcome::MayHaveRun { timed_out });
         }
-        let shed = job.context.slots(&job.service).shed();
-        self.end(Ended::NotRun(shed))
+        let shed = routed.context.slots(&routed.service).shed_no_target();
+        self.complete(RequestOutcome::NotRun(shed))
     }
 }
 
-/// Sends the request and, when its target takes far longer than usual, also to a second one.
+/// Sends the request to a target and, if it takes far longer than usual, a hedge to a second one.
 ///
-/// Guards against targets that hang or have gone silent: without it their requests end at the
-/// route's timeout although other targets are free. Only idempotent requests are sent twice. The
-/// first answer wins; dropping the other attempt closes its connection, so that its work ends.
-async fn attempt_hedged(job: &Job, assigned: Assigned, trial: &mut Trial) -> AttemptEnd {
-    trial.start(&assigned);
-    let first = pin!(attempt(job, assigned));
-    if !job.is_repeatable() || !trial.has_attempt_left(job) || !is_clear(job) {
+/// Without hedges, requests at targets that hang or no longer respond would end at the route's
+/// timeout although other targets are free. Only idempotent requests are hedged. The first answer
+/// wins; dropping the other attempt closes its connection, which stops its work.
+async fn send_with_hedge(
+    routed: &RoutedRequest,
+    slot: SlotGuard,
+    history: &mut AttemptHistory,
+) -> AttemptOutcome {
+    history.record_start(&slot);
+    let first = pin!(send_attempt(routed, slot));
+    if !routed.is_idempotent() || !history.has_attempt_left(routed) || !is_clear(routed) {
         return first.await;
     }
-    let slots = job.context.slots(&job.service);
-    let patience = slots.usual_time(&job.class()).mul_f64(HEDGE_FACTOR).max(HEDGE_AFTER_MIN);
-    let first = match select(first, pin!(tokio::time::sleep(patience))).await {
-        Either::Left((end, _)) => return end,
+    let slots = routed.context.slots(&routed.service);
+    let hedge_delay =
+        slots.usual_time(&routed.class()).mul_f64(HEDGE_DELAY_FACTOR).max(HEDGE_DELAY_MIN);
+    let first = match select(first, pin!(tokio::time::sleep(hedge_delay))).await {
+        Either::Left((outcome, _)) => return outcome,
         Either::Right(((), first)) => first,
     };
-    let Some(second) = slots.spare(&job.ask(&trial.avoided)) else { return first.await };
-    if job.caller.has_left() || !is_clear(job) || !slots.try_repeat(repeat_allowance(&job.context))
+    let Some(second) = slots.assign_hedge(&routed.slot_request(&history.excluded)) else {
+        return first.await;
+    };
+    if routed.caller.has_left()
+        || !is_clear(routed)
+        || !slots.try_acquire_retry(retry_allowance(&routed.context))
     {
         return first.await;
     }
-    trial.start(&second);
-    match select(first, pin!(attempt(job, second))).await {
-        Either::Left((end, other)) => better(end, other).await,
-        Either::Right((end, other)) => better(end, other).await,
+    history.record_start(&second);
+    match select(first, pin!(send_attempt(routed, second))).await {
+        Either::Left((outcome, other)) => prefer_answered(outcome, other).await,
+        Either::Right((outcome, other)) => prefer_answered(outcome, other).await,
     }
 }
 
-/// The end of the attempt that ended first if it is an answer, else that of the other one.
-async fn better(end: AttemptEnd, other: impl Future<Output = AttemptEnd>) -> AttemptEnd {
-    match end {
-        AttemptEnd::Answered(_) => end,
+/// Returns the outcome of the attempt that ended first if it was answered, otherwise that of the
+/// other attempt.
+async fn prefer_answered(
+    outcome: AttemptOutcome,
+    other: impl Future<Output = AttemptOutcome>,
+) -> AttemptOutcome {
+    match outcome {
+        AttemptOutcome::Answered(_) => outcome,
         _ => match other.await {
-            // Whatever the last one proves, the first one may have run.
-            AttemptEnd::Unreached | AttemptEnd::NotRun => AttemptEnd::Lost,
+            // The first attempt may have run even if the second one has not.
+            AttemptOutcome::NotSent | AttemptOutcome::NotRun => AttemptOutcome::Lost,
             last => last,
         },
     }
 }
 
-/// Sends the request to one target.
-async fn attempt(job: &Job, assigned: Assigned) -> AttemptEnd {
-    let context = &job.context;
-    let target = assigned.target().clone();
-    let place = place_of(context, &target);
+/// Sends the request to one target and records the result.
+async fn send_attempt(routed: &RoutedRequest, slot: SlotGuard) -> AttemptOutcome {
+    let context = &routed.context;
+    let target = slot.target().clone();
+    let location = location_of(context, &target);
     let sent_at = context.clock.now();
-    let timeout = job.left(sent_at);
-    let (Some((endpoint, domain)), Some(request)) = (place, outgoing(job, &target, timeout)) else {
-        // The target left, or its failure domain was evacuated, between choice and sending.
-        return AttemptEnd::Unreached;
+    let timeout = routed.remaining(sent_at);
+    let (Some((endpoint, domain)), Some(request)) =
+        (location, build_target_request(routed, &target, timeout))
+    else {
+        // The target was removed, or its failure domain evacuated, after its selection.
+        return AttemptOutcome::NotSent;
     };
-    let owner = |_status: StatusCode, headers: &HeaderMap| owner(context, &job.request_id, headers);
-    let repeatable = job.is_repeatable();
-    let asked = LinkRequest {
+    let owner = |_status: StatusCode, headers: &HeaderMap| {
+        answer_owner(context, &routed.request_id, headers)
+    };
+    let repeatable = routed.is_idempotent();
+    let link_request = LinkRequest {
         target: &target,
         endpoint,
         request,
@@ -308,63 +328,64 @@
         purpose: Purpose::Request,
         opened: &|| {},
     };
-    let cold = assigned.sending();
-    let sent_bytes = message_bytes(asked.request.headers(), job.request.body.len());
+    let is_cold = slot.mark_sent();
+    let sent_bytes = message_bytes(link_request.request.headers(), routed.request.body.len());
     Carried::Requests.count(&domain, sent_bytes);
-    let result = context.links.send(asked).await;
+    let result = context.links.send(link_request).await;
     if let Ok(answer) = &result {
         Carried::Answers.count(&domain, message_bytes(&answer.headers, answer.body.len()));
     }
     let latency = context.clock.now().since(sent_at);
     let outcome = slot_outcome(&context.dialect, &result, latency);
-    let figures = result.as_ref().ok().and_then(|answer| figures(&context.dialect, answer));
+    let reported_load =
+        result.as_ref().ok().and_then(|answer| parse_reported_load(&context.dialect, answer));
     if let Ok(answer) = &result
         && outcome != SlotOutcome::Misdirected
     {
-        note_rate_limit(context, &target, answer);
+        record_rate_limit(context, &target, answer);
     }
-    assigned.finish(outcome, figures);
-    let crashed = target_may_have_crashed(&result) && refuses_connections(job, endpoint).await;
-    // Cold targets crash under more than they bear, whatever the request.
-    if crashed && !cold {
-        note_crash(job, &target, sent_at);
+    slot.finish(outcome, reported_load);
+    let crashed = target_may_have_crashed(&result) && refuses_connections(routed, endpoint).await;
+    // A cold target may crash from overload, whatever the request.
+    if crashed && !is_cold {
+        record_crash(routed, &target, sent_at);
     }
-    report(job, &target, &result, &AttemptReport { outcome, latency, crashed });
-    attempt_end(&context.dialect, result)
+    log_failed_attempt(routed, &target, &result, &AttemptDetails { outcome, latency, crashed });
+    classify_attempt(&context.dialect, result)
 }
 
 /// Whether the target refuses connections; `false` if the check times out.
-async fn refuses_connections(job: &Job, endpoint: Endpoint) -> bool {
-    let timeout = job.left(job.context.clock.now()).min(CRASH_CHECK_TIMEOUT);
-    let check = job.context.links.refuses_connections(endpoint);
+async fn refuses_connections(routed: &RoutedRequest, endpoint: Endpoint) -> bool {
+    let timeout = routed.remaining(routed.context.clock.now()).min(CRASH_CHECK_TIMEOUT);
+    let check = routed.context.links.refuses_connections(endpoint);
     tokio::time::timeout(timeout, check).await.unwrap_or(false)
 }
 
 /// Details of an attempt that are logged in addition to its result.
-struct AttemptReport {
+struct AttemptDetails {
     outcome: SlotOutcome,
     latency: Duration,
     /// Whether the connection failed and the target's port then refused a new one.
     crashed: bool,
 }
 
-/// Where a target is reached, and in which failure domain; `None` once it has left or its failure
-/// domain is evacuated.
-fn place_of(context: &Context, target: &TargetId) -> Option<(Endpoint, FailureDomain)> {
+/// Returns the endpoint and failure domain of a target; `None` if the target was removed or its
+/// failure domain is evacuated.
+fn location_of(context: &Context, target: &TargetId) -> Option<(Endpoint, FailureDomain)> {
     let published = context.published.load();
-    let entry = published.targets.get(target)?;
-    let evacuated = published.evacuated.contains_key(&entry.failure_domain);
-    (!evacuated).then(|| (entry.endpoint, entry.failure_domain.clone()))
+    let record = published.targets.get(target)?;
+    let is_evacuated = published.evacuated.contains_key(&record.failure_domain);
+    (!is_evacuated).then(|| (record.endpoint, record.failure_domain.clone()))
 }
 
-/// Logs an attempt that brought no answer to pass on.
-fn report(
-    job: &Job,
+/// Logs an attempt that was not answered successfully.
+fn log_failed_attempt(
+    routed: &RoutedRequest,
     target: &TargetId,
     result: &Result<WholeAnswer, AttemptFailure>,
-    attempt: &AttemptReport,
+    attempt: &AttemptDetails,
 ) {
-    let AttemptReport { outcome, latency, crashed } = attempt;
+    let AttemptDetails { outcome, latency, crashed } = attempt;
     if matches!(outcome, SlotOutcome::Answered { .. }) {
         return;
     }
@@ -372,40 +393,44 @@
         Ok(answer) => (Verdict::Ran, format!("status {}", answer.status.as_u16())),
         Err(failure) => (failure.verdict(), failure.cause().to_string()),
     };
-    event!(job.context.log, ATTEMPT_FAILED,
-        "request" => &job.request_id,
-        "service" => job.service.as_str(),
+    event!(routed.context.log, ATTEMPT_FAILED,
+        "request" => &routed.request_id,
+        "service" => routed.service.as_str(),
         "target" => target.as_str(),
         "outcome" => format!("{outcome:?}"),
         "cause" => cause,
         "verdict" => verdict.as_str(),
         "crashed" => crashed,
-        "fingerprint" => crashed.then(|| job.fingerprint().to_string()).unwrap_or_default(),
+        "fingerprint" => crashed.then(|| routed.fingerprint().to_string()).unwrap_or_default(),
         "took_ms" => u64::try_from(latency.as_millis()).unwrap_or(u64::MAX),
     );
 }
 
-/// The request for one target: what is left of the deadline, and who alone may run it.
-fn outgoing(job: &Job, target: &TargetId, left: Duration) -> Option<Request<Full<Bytes>>> {
-    let names = &job.context.dialect.headers;
-    let whole = &job.request;
+/// Builds the request for one target, with the remaining time and the only target that may run it.
+fn build_target_request(
+    routed: &RoutedRequest,
+    target: &TargetId,
+    remaining: Duration,
+) -> Option<Request<Full<Bytes>>> {
+    let names = &routed.context.dialect.headers;
+    let whole = &routed.request;
     let uri = Uri::from(whole.path_and_query.clone());
     let mut request = Request::new(Full::new(whole.body.clone()));
     *request.method_mut() = whole.method.clone();
     *request.uri_mut() = uri;
     *request.headers_mut() = whole.headers.clone();
-    let left_ms = u64::try_from(left.as_millis()).ok()?;
+    let remaining_ms = u64::try_from(remaining.as_millis()).ok()?;
     let headers = request.headers_mut();
-    headers.insert(names.deadline_ms.clone(), HeaderValue::from(left_ms));
+    headers.insert(names.deadline_ms.clone(), HeaderValue::from(remaining_ms));
     headers.insert(names.expected_target.clone(), HeaderValue::try_from(target.as_str()).ok()?);
     Some(request)
 }
 
-/// Whose answer it is: targets echo the id of the request that they answer.
+/// Checks whether an answer belongs to the request, by the request id that targets echo.
 ///
-/// An answer without any id is taken to be the own one only if it is a failure: a success must
-/// prove to whom it belongs.
-fn owner(context: &Context, request_id: &str, headers: &HeaderMap) -> AnswerOwner {
+/// A signed answer without an id is foreign: a success must prove which request it belongs to. An
+/// unsigned answer without an id can only be a failure and counts as an answer to this request.
+fn answer_owner(context: &Context, request_id: &str, headers: &HeaderMap) -> AnswerOwner {
     let echoed = headers.get(&context.dialect.headers.request_id);
     match echoed {
         Some(id) if id.as_bytes() == request_id.as_bytes() => AnswerOwner::Own,
@@ -415,19 +440,21 @@
     }
 }
 
-/// How many repeated sends this process may make, such that all entries together keep the bound.
+/// Returns how many retries and hedges this process may send so that all entries together stay
+/// within the limit.
 ///
-/// Requests of callers count where they are made, so that each process may use its own share of
-/// them. What is allowed beside that share is the fleet's: the active entry takes a bit less than
-/// half, if it sees most of the fleet, so that two entries that both believe to be active keep the
-/// bound together; every other entry takes an equal part of the rest.
-fn repeat_allowance(context: &Context) -> RetryAllowance {
+/// The proportional part counts requests at the entry that receives them, so each process applies
+/// it to its own requests. The fixed part is for the whole fleet: an advertised entry takes a bit
+/// less than half of it if it sees most of the fleet, so that two entries that both consider
+/// themselves advertised stay within the limit together. Every other entry takes an equal part of
+/// the rest.
+fn retry_allowance(context: &Context) -> RetryAllowance {
     let settings = &context.settings;
     let fleet = context.fleet.load();
-    let whole = u64::from(settings.retry_extra);
-    let all_active = ACTIVE_SHARE.of(whole);
-    let active = all_active / (fleet.named.len().max(1) as u64);
-    let others = (whole - 2 * all_active) / (fleet.known.max(1) as u64);
-    let extra = if fleet.active && fleet.sees_most() { active } else { others };
+    let fleet_extra = u64::from(settings.retry_extra);
+    let advertised_total = ADVERTISED_SHARE.of(fleet_extra);
+    let advertised_extra = advertised_total / (fleet.named.len().max(1) as u64);
+    let other_extra = (fleet_extra - 2 * advertised_total) / (fleet.known.max(1) as u64);
+    let extra = if fleet.active && fleet.sees_most() { advertised_extra } else { other_extra };
     RetryAllowance { share: settings.retry_share, extra: u32::try_from(extra).unwrap_or(0) }
 }
--- /dev/null
+++ b/crates/gateway/src/traffic/caller_requests.rs
@@ -0,0 +1,196 @@
+//! Handles the requests that callers send to the entry.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use http::header::HOST;
+use http::{HeaderMap, Method};
+use metrics::{counter, histogram};
+use shallotfork_events::{
+    CALLER_LEFT, CALLER_REFUSED, REQUEST_ANSWERED, REQUEST_NOT_ANSWERED, event,
+};
+use shallotfork_exchange::{ArrivedAt, BodyLimits, CallerPresence, WholeRequest, read_whole};
+use shallotfork_routes::RepeatPolicy;
+use shallotfork_types::{Bytes, Mono, TargetId};
+
+use crate::context::Context;
+use crate::line_budget::LineLeave;
+use crate::traffic::attempts::{CompletedRequest, RequestOutcome, run_attempts};
+use crate::traffic::problem_responses::{bad_request, may_have_run, no_route, not_run};
+use crate::traffic::routed_request::{RouteMatch, RoutedRequest};
+
+/// Retry-after time of an entry that has no routes yet; about the time that it takes to read them.
+const STARTING_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Maximum time for a body to arrive. Equals the longest timeout that callers set for whole
+/// requests.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum size of a body until a limit has been published.
+const DEFAULT_BODY_MAX: Bytes = Bytes::from_mib(8);
+
+/// Handles one request of a caller.
+pub async fn handle_request(context: Arc<Context>, request: poem::Request) -> poem::Response {
+    let arrived_at = arrival_time(&context, &request);
+    let Some(caller) = request.extensions().get::<CallerPresence>().cloned() else {
+        return bad_request("the request came on no connection");
+    };
+    context.begins.notify_one();
+    let body_max = context
+        .published
+        .load()
+        .table
+        .as_ref()
+        .map_or(DEFAULT_BODY_MAX, |table| table.limits().body_max);
+    let limits = BodyLimits { body_max, body_timeout: BODY_TIMEOUT };
+    let request = match read_whole(request, &limits, &context.bodies).await {
+        Ok(request) => request,
+        Err(error) => {
+            event!(context.log, CALLER_REFUSED, "reason" => error.to_string());
+            return error.problem().into_response();
+        }
+    };
+    let Some(request_id) = request_id(&context, &request.headers) else {
+        return bad_request("the request has no id");
+    };
+    let matched = match find_route(&context, &request) {
+        Ok(matched) => matched,
+        Err(reason) => {
+            event!(context.log, CALLER_REFUSED, "request" => request_id,
+                "reason" => format!("{reason:?}"));
+            return reason.response();
+        }
+    };
+    let method = request.method.clone();
+    let routed =
+        RoutedRequest::new(Arc::clone(&context), request, request_id, matched, arrived_at, caller);
+    let completed = tokio::select! {
+        biased;
+        completed = run_attempts(&routed) => completed,
+        () = context.answers_are_due() => CompletedRequest::interrupted(),
+    };
+    log_completion(&routed, &completed);
+    respond(completed, &method)
+}
+
+/// Returns when the request arrived, which is in the past if it waited behind others on its
+/// connection.
+fn arrival_time(context: &Context, request: &poem::Request) -> Mono {
+    let waited = request.extensions().get::<ArrivedAt>().map(|arrived_at| arrived_at.0.elapsed());
+    let now_us = context.clock.now().as_micros();
+    let waited_us = waited.map_or(0, |waited| u64::try_from(waited.as_micros()).unwrap_or(0));
+    Mono::from_micros(now_us.saturating_sub(waited_us))
+}
+
+/// Whether a pipelined request may start before the one ahead of it has been answered.
+///
+/// Only idempotent requests may: if the connection closes first, the caller gets no answer to a
+/// request that has run, and sends it again.
+pub fn may_begin_early(context: &Context, head: &http::request::Parts) -> bool {
+    let published = context.published.load();
+    let Some(table) = &published.table else { return false };
+    let host = head.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
+    let name = host.rsplit_once(':').map_or(host, |(name, _port)| name).to_ascii_lowercase();
+    let route = table.find(&name, head.uri.path());
+    route.is_some_and(|route| route.repeat_policy == RepeatPolicy::Idempotent)
+}
+
+fn request_id(context: &Context, headers: &HeaderMap) -> Option<String> {
+    let id = headers.get(&context.dialect.headers.request_id)?.to_str().ok()?;
+    Some(id.to_owned())
+}
+
+/// Reason why no route was found for a request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum RoutingFailure {
+    /// No routes are known yet.
+    Starting,
+    /// No known route covers the request, but this entry is disconnected from the platform and may
+    /// lack a new route. The caller may try another entry.
+    PerhapsNew,
+    /// No route covers the request.
+    NoRoute,
+}
+
+impl RoutingFailure {
+    fn response(self) -> poem::Response {
+        match self {
+            Self::Starting => not_run(STARTING_RETRY_AFTER, "no routes are known yet"),
+            Self::PerhapsNew => {
+                not_run(STARTING_RETRY_AFTER, "the routes known here may be out of date")
+            }
+            Self::NoRoute => no_route(),
+        }
+    }
+}
+
+/// Finds the route in force for a request, and the version of its table.
+fn find_route(context: &Context, request: &WholeRequest) -> Result<RouteMatch, RoutingFailure> {
+    let published = context.published.load();
+    let table = published.table.as_ref().ok_or(RoutingFailure::Starting)?;
+    let host = request.service.as_str().to_ascii_lowercase();
+    if let Some(route) = table.find(&host, request.path_and_query.path()) {
+        return Ok(RouteMatch { route: Arc::clone(route), version: table.version() });
+    }
+    let is_disconnected = published.platform_lost_at.is_some();
+    Err(if is_disconnected { RoutingFailure::PerhapsNew } else { RoutingFailure::NoRoute })
+}
+
+fn respond(completed: CompletedRequest, method: &Method) -> poem::Response {
+    match completed.outcome {
+        RequestOutcome::Answered(answer) => answer.into_response(method),
+        RequestOutcome::Rejected(shed) | RequestOutcome::NotRun(shed) => {
+            not_run(shed.retry_after, shed.reason.as_str())
+        }
+        RequestOutcome::MayHaveRun { timed_out: true } => may_have_run(true, "no answer in time"),
+        RequestOutcome::MayHaveRun { timed_out: false } => {
+            may_have_run(false, "the target's answer is lost")
+        }
+        RequestOutcome::CallerLeft => may_have_run(false, "the caller has left"),
+    }
+}
+
+fn log_completion(routed: &RoutedRequest, completed: &CompletedRequest) {
+    let elapsed = routed.context.clock.now().since(routed.arrived_at);
+    histogram!("shallotfork_request_seconds").record(elapsed.as_secs_f64());
+    let (outcome, event) = match &completed.outcome {
+        RequestOutcome::Answered(answer) if answer.status.is_server_error() => {
+            ("error", REQUEST_ANSWERED)
+        }
+        RequestOutcome::Answered(_) => ("answered", REQUEST_ANSWERED),
+        RequestOutcome::Rejected(shed) | RequestOutcome::NotRun(shed) => {
+            (shed.reason.as_str(), CALLER_REFUSED)
+        }
+        RequestOutcome::MayHaveRun { timed_out: true } => ("timeout", REQUEST_NOT_ANSWERED),
+        RequestOutcome::MayHaveRun { timed_out: false } => ("lost", REQUEST_NOT_ANSWERED),
+        RequestOutcome::CallerLeft => ("caller-left", CALLER_LEFT),
+    };
+    counter!("shallotfork_requests", "outcome" => outcome).increment(1);
+    let context = &routed.context;
+    let left_out = match context.lines.ask(context.clock.now()) {
+        LineLeave::Write { left_out } => left_out,
+        LineLeave::LeaveOut if event == REQUEST_ANSWERED => return,
+        LineLeave::LeaveOut => 0,
+    };
+    let published = context.published.load();
+    let outage = published.platform_lost_at.map(|at| context.clock.now().since(at));
+    let targets: Vec<&str> = completed.tried.iter().map(TargetId::as_str).collect();
+    event!(context.log, event,
+        "request" => &routed.request_id,
+        "route" => routed.route.name.as_str(),
+        "version" => routed.version.number(),
+        "service" => routed.service.as_str(),
+        "outcome" => outcome,
+        "targets" => targets.join(","),
+        "retry_after_ms" => completed.retry_after().map_or(0, millis),
+        "waited_before_ms" => millis(routed.prior_wait),
+        "queued_ms" => millis(completed.queued),
+        "late_ms" => millis(routed.context.late_by()),
+        "took_ms" => millis(elapsed),
+        "left_ms" => millis(routed.remaining(context.clock.now())),
+        "platform_away_ms" => outage.map_or(0, millis),
+        "left_out" => left_out,
+    );
+}
+
+fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
+}
--- a/crates/gateway/src/traffic/directory.rs
+++ b/crates/gateway/src/traffic/directory.rs
@@ -1,4 +1,4 @@
-//! Which entry a caller should use, and whether this one takes new work.
+//! Serves the advertised entries to callers, and the readiness of this entry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,45 +9,47 @@
 
 use crate::context::Context;
 
-/// Time after its start in which a process may not know all others.
-const YOUNG_FOR: Duration = Duration::from_millis(2500);
-/// How long an answer is kept that was given in that time.
-const YOUNG_KEEP: Duration = Duration::from_millis(400);
+/// Time after the start of a process during which it may not know all other entries.
+const STARTUP_PERIOD: Duration = Duration::from_millis(2500);
+/// Maximum time for which callers may cache an answer given during [`STARTUP_PERIOD`].
+const STARTUP_TTL_MAX: Duration = Duration::from_millis(400);
 const JSON: &str = "application/json";
 
-/// Answers a caller who asks for addresses.
+/// Answers a caller's request for the endpoints of advertised entries.
 ///
-/// The answer is kept for a short time, so that callers follow soon when a named entry is lost.
+/// Callers may cache the answer for a short time only, so that they soon stop using an advertised
+/// entry that was lost.
 pub fn handle_directory(context: &Arc<Context>, request: &poem::Request) -> poem::Response {
     if request.uri().path() != context.dialect.paths.directory {
         return StatusCode::NOT_FOUND.into_response();
     }
     let fleet = context.fleet.load();
-    let question = request.uri().query().unwrap_or_default();
-    let domain = (context.dialect.caller_domain)(question);
-    let mut named = endpoints_for_caller(&fleet.named, &context.settings.regions, domain.as_ref());
-    if named.is_empty() {
+    let query = request.uri().query().unwrap_or_default();
+    let domain = (context.dialect.caller_domain)(query);
+    let mut endpoints =
+        endpoints_for_caller(&fleet.named, &context.settings.regions, domain.as_ref());
+    if endpoints.is_empty() {
         if !context.is_serving() {
-            // Callers that keep an older answer do better with it.
+            // A caller should rather keep using the older answer that it has cached.
             return StatusCode::SERVICE_UNAVAILABLE.into_response();
         }
-        // Nobody is known before the first heartbeats; this process serves as well as any.
-        named.push(context.settings.ports.callers);
+        // No entry is known before the first heartbeats, so this process advertises itself.
+        endpoints.push(context.settings.ports.callers);
     }
-    let keep = answer_keep(context);
-    let answer = (context.dialect.directory_answer)(&named, keep);
+    let ttl = answer_ttl(context);
+    let answer = (context.dialect.directory_answer)(&endpoints, ttl);
     answer.with_content_type(JSON).into_response()
 }
 
-/// How long a caller may keep an answer: shorter while this process may not know the fleet yet, and
-/// so names another entry than the rest does.
-fn answer_keep(context: &Context) -> Duration {
-    let young = context.age() < YOUNG_FOR;
-    let keep = context.settings.answer_keep;
-    if young { keep.min(YOUNG_KEEP) } else { keep }
+/// Returns how long callers may cache an answer: shorter after the start, while this process may
+/// not know the whole fleet and so may advertise a different entry than the others do.
+fn answer_ttl(context: &Context) -> Duration {
+    let is_starting = context.age() < STARTUP_PERIOD;
+    let ttl = context.settings.answer_keep;
+    if is_starting { ttl.min(STARTUP_TTL_MAX) } else { ttl }
 }
 
-/// Says whether this process takes new work.
+/// Answers whether this process accepts new requests.
 pub fn handle_readiness(context: &Arc<Context>, request: &poem::Request) -> StatusCode {
     if request.uri().path() != context.dialect.paths.readiness {
         return StatusCode::NOT_FOUND;
--- a/crates/gateway/src/traffic/mod.rs
+++ b/crates/gateway/src/traffic/mod.rs
@@ -1,25 +1,25 @@
-//! Requests of callers, and what goes to targets.
+//! Serves the requests of callers: routing, attempts at targets, probes and slots.
 
+mod attempt_outcome;
 mod attempts;
+mod caller_requests;
 mod directory;
-mod front;
-mod job;
-mod judge;
-mod lateness;
-mod probe_counts;
+mod probe_counters;
 mod probes;
+mod problem_responses;
 mod quarantine;
 mod rate_limit;
-mod refusal;
+mod routed_request;
+mod scheduling_delay;
 mod service_load;
 mod service_slots;
 
+pub use caller_requests::{handle_request, may_begin_early};
 pub use directory::{handle_directory, handle_readiness};
-pub use front::{handle_request, may_begin_early};
-pub use lateness::monitor_scheduling_delay;
-pub use probe_counts::{ProbeCounters, Probes};
+pub use probe_counters::{ProbeCounters, ProbeTotals};
 pub use probes::run_probes;
 pub use quarantine::log_quarantined;
 pub use rate_limit::apply_rate_limit;
+pub use scheduling_delay::monitor_scheduling_delay;
 pub use service_load::report_service_load;
 pub use service_slots::ServiceSlots;
--- a/crates/gateway/src/traffic/probes.rs
+++ b/crates/gateway/src/traffic/probes.rs
@@ -1,4 +1,4 @@
-//! Asks targets for their load, so that requests are not sent blind.
+//! Probes targets for their load before requests are sent to them.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,22 +15,22 @@
 use crate::carried::{Carried, message_bytes};
 use crate::context::Context;
 use crate::line_budget::LineLeave;
-use crate::traffic::judge::figures;
+use crate::traffic::attempt_outcome::parse_reported_load;
 use crate::traffic::service_slots::ServiceSlots;
 
-/// How often the pools are asked which targets to probe; half of the time between two probes of a
-/// target.
-const LOOK: Duration = Duration::from_millis(12);
-/// A request that waits longer for the answer is sent elsewhere.
-const PROMPT: Duration = Duration::from_millis(50);
-/// A target that has not answered after this time is taken to have failed. Above the time for which
-/// a busy target keeps a new connection waiting.
-const TIMEOUT: Duration = Duration::from_millis(1000);
+/// Interval at which the pools are polled for targets to probe; half of the interval between two
+/// probes of a target.
+const POLL_INTERVAL: Duration = Duration::from_millis(12);
+/// Time that a request waits for the answer to a probe before it goes to another target.
+const PROMPT_ANSWER_TIMEOUT: Duration = Duration::from_millis(50);
+/// Time after which an unanswered probe counts as a failure of the target. Longer than a busy
+/// target keeps a new connection waiting.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Probes, and ends waits that have lasted long enough, for as long as the process runs.
+/// Probes targets and expires queued requests for as long as the process runs.
 ///
-/// Looks only while requests wait: most entries of a large fleet serve none, and would wake up eighty
-/// times a second for nothing.
+/// Polls only while requests wait: most entries of a large fleet serve none, and would needlessly
+/// wake up eighty times a second.
 pub async fn run_probes(context: Arc<Context>) {
     loop {
         let services = context.services.all();
@@ -38,10 +38,10 @@
             context.waits.notified().await;
             continue;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         services.iter().for_each(|(_, slots)| slots.expire());
-        // An entry that callers are not sent to serves a few requests with old addresses; were all
-        // entries to probe for these, probing would cost more than the requests.
+        // An entry that is not advertised serves only the few callers with outdated addresses. If
+        // all entries probed for these, the probes would cost more than the requests.
         if !context.fleet.load().active {
             continue;
         }
@@ -55,125 +55,138 @@
     }
 }
 
-/// What a probe brought.
+/// Result of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Probed {
-    /// The target told its load, which its service's slots know now.
+pub enum ProbeResult {
+    /// The target reported its load, which has been recorded in the service's slots.
     Reported,
-    /// It answered without telling its load, or can't be asked.
-    Untold,
-    /// It has accepted a new connection and has not answered on it yet: its slots are taken.
+    /// The target answered without reporting its load, or cannot be probed.
+    NoLoad,
+    /// The target has accepted a new connection but not answered on it yet: its slots are in use.
     Full,
-    /// It has not answered yet, or can't be reached.
-    Silent,
+    /// The target has not answered yet, or cannot be reached.
+    Unanswered,
 }
 
-/// Asks one target for its load and waits a short time for the answer.
+/// Probes one target for its load and waits a short time for the answer.
 ///
-/// One that comes later still counts, and its connection is kept. A busy target lets a new connection
-/// wait until it has a slot; closed after the short time and opened anew for each question, most of
-/// them would never be answered, while each takes processor time on both sides.
+/// A later answer is still recorded, and its connection is kept. A busy target lets a new
+/// connection wait until it has a slot. If each probe closed its connection after the short wait
+/// and the next one opened another, most would never be answered, and each would cost CPU time on
+/// both sides.
 pub async fn probe(
     context: &Arc<Context>,
     service: &ServiceName,
     slots: &Arc<ServiceSlots>,
     target: &TargetId,
-) -> Probed {
-    // An answer that has come may wait that long until it is read.
-    let patience = PROMPT + context.late_by();
+) -> ProbeResult {
+    // An answer that has arrived may wait for the scheduling delay until it is read.
+    let timeout = PROMPT_ANSWER_TIMEOUT + context.late_by();
     let is_accepted = Arc::new(AtomicBool::new(false));
-    let asking = {
+    let probe_task = {
         let (context, slots) = (Arc::clone(context), Arc::clone(slots));
         let (service, target) = (service.clone(), target.clone());
         let is_accepted = Arc::clone(&is_accepted);
-        tokio::spawn(async move { ask(&context, &service, &slots, &target, &is_accepted).await })
+        tokio::spawn(
+            async move { send_probe(&context, &service, &slots, &target, &is_accepted).await },
+        )
     };
-    match tokio::time::timeout(patience, asking).await {
-        Ok(Ok(probed)) => {
-            if probed != Probed::Silent {
-                slots.answered_soon();
+    match tokio::time::timeout(timeout, probe_task).await {
+        Ok(Ok(result)) => {
+            if result != ProbeResult::Unanswered {
+                slots.record_prompt_probe();
             }
-            probed
+            result
         }
-        // The task ends early only with the process.
-        Ok(Err(_)) => Probed::Silent,
+        // The task is cancelled only when the process ends.
+        Ok(Err(_)) => ProbeResult::Unanswered,
         Err(_) => {
-            slots.unanswered(target);
-            context.probe_counts.silent();
-            if is_accepted.load(Ordering::Relaxed) { Probed::Full } else { Probed::Silent }
+            slots.record_unanswered_probe(target);
+            context.probe_counts.record_unanswered();
+            if is_accepted.load(Ordering::Relaxed) {
+                ProbeResult::Full
+            } else {
+                ProbeResult::Unanswered
+            }
         }
     }
 }
 
-/// Asks the target and takes its answer whenever it comes. Sets `is_accepted` once a new connection
-/// has been opened for the question.
-async fn ask(
+/// Sends a probe to the target and records the answer. Sets `is_accepted` once a new connection has
+/// been opened for the probe.
+async fn send_probe(
     context: &Context,
     service: &ServiceName,
     slots: &Arc<ServiceSlots>,
     target: &TargetId,
     is_accepted: &AtomicBool,
-) -> Probed {
-    let Some(Health { endpoint, domain, uri }) = health(context, service, target) else {
-        return Probed::Untold;
+) -> ProbeResult {
+    let Some(HealthEndpoint { endpoint, domain, uri }) = health_endpoint(context, service, target)
+    else {
+        return ProbeResult::NoLoad;
     };
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = uri;
     Carried::Questions.count(&domain, message_bytes(request.headers(), 0));
-    let asked = LinkRequest {
+    let link_request = LinkRequest {
         target,
         endpoint,
         request,
-        timeout: TIMEOUT,
+        timeout: PROBE_TIMEOUT,
         repeatable: true,
         owner: &|_: StatusCode, _: &HeaderMap| AnswerOwner::Own,
         purpose: Purpose::Probe,
         opened: &|| is_accepted.store(true, Ordering::Relaxed),
     };
     counter!("shallotfork_probes").increment(1);
-    context.probe_counts.asked();
-    let asked_at = context.clock.now();
-    let Ok(answer) = context.links.send(asked).await else {
-        let late_by = context.clock.now().since(asked_at).saturating_sub(TIMEOUT);
-        slots.probe_failed(target, late_by);
-        return Probed::Silent;
+    context.probe_counts.record_sent();
+    let sent_at = context.clock.now();
+    let Ok(answer) = context.links.send(link_request).await else {
+        let delay = context.clock.now().since(sent_at).saturating_sub(PROBE_TIMEOUT);
+        slots.record_failed_probe(target, delay);
+        return ProbeResult::Unanswered;
     };
     Carried::Questions.count(&domain, message_bytes(&answer.headers, answer.body.len()));
-    note_warmup(context, slots, target, &answer.headers);
-    match figures(&context.dialect, &answer) {
-        Some(figures) => {
-            slots.report(target, figures);
-            Probed::Reported
+    record_warmup(context, slots, target, &answer.headers);
+    match parse_reported_load(&context.dialect, &answer) {
+        Some(reported_load) => {
+            slots.record_load(target, reported_load);
+            ProbeResult::Reported
         }
         None => {
-            slots.probe_answered(target);
-            Probed::Untold
+            slots.record_probe_without_load(target);
+            ProbeResult::NoLoad
         }
     }
 }
 
-/// Takes how much longer a target says it is cold. One that does not say may be either.
-fn note_warmup(context: &Context, slots: &ServiceSlots, target: &TargetId, headers: &HeaderMap) {
+/// Records for how long a target reports to stay cold. A target without this header may be cold or
+/// warm.
+fn record_warmup(context: &Context, slots: &ServiceSlots, target: &TargetId, headers: &HeaderMap) {
     let Some(value) = headers.get(&context.dialect.headers.warmup_remaining_ms) else { return };
     let remaining_ms = value.to_str().ok().and_then(|text| text.trim().parse().ok());
     if let Some(remaining_ms) = remaining_ms {
-        slots.told_cold_for(target, Duration::from_millis(remaining_ms));
+        slots.record_cold_report(target, Duration::from_millis(remaining_ms));
     } else if let LineLeave::Write { left_out } = context.invalid_lines.ask(context.clock.now()) {
         event!(context.log, WARMUP_INVALID, "target" => target.as_str(), "left_out" => left_out);
     }
 }
 
-/// Where a target tells its health.
-struct Health {
+/// Location of a target's health endpoint.
+struct HealthEndpoint {
     endpoint: Endpoint,
     domain: FailureDomain,
     uri: Uri,
 }
 
-fn health(context: &Context, service: &ServiceName, target: &TargetId) -> Option<Health> {
+fn health_endpoint(
+    context: &Context,
+    service: &ServiceName,
+    target: &TargetId,
+) -> Option<HealthEndpoint> {
     let published = context.published.load();
-    let entry = published.targets.get(target)?;
+    let record = published.targets.get(target)?;
     let spec = published.table.as_ref()?.services().get(service)?;
     let uri = spec.health_path.parse().ok()?;
-    Some(Health { endpoint: entry.endpoint, domain: entry.failure_domain.clone(), uri })
+    Some(HealthEndpoint { endpoint: record.endpoint, domain: record.failure_domain.clone(), uri })
 }
--- a/crates/gateway/src/traffic/quarantine.rs
+++ b/crates/gateway/src/traffic/quarantine.rs
@@ -7,7 +7,7 @@
 use shallotfork_types::{Mono, TargetId};
 
 use crate::context::{Context, lock};
-use crate::traffic::job::Job;
+use crate::traffic::routed_request::RoutedRequest;
 
 /// Guard for a run of a suspected request. This process starts no other run of the request until
 /// the guard is dropped.
@@ -26,10 +26,10 @@
 /// Checks whether a request may be sent. Returns a guard for the run if the request is suspected.
 ///
 /// # Errors
-/// Returns the refusal if the request is quarantined, or suspected and not to be sent yet.
-pub fn begin_run(job: &Job, send: SendKind) -> Result<Option<SuspectRun<'_>>, Shed> {
-    let context = &job.context;
-    let Some(fingerprint) = fingerprint_if_needed(job) else { return Ok(None) };
+/// Returns the rejection if the request is quarantined, or suspected and must not be sent yet.
+pub fn begin_run(routed: &RoutedRequest, send: SendKind) -> Result<Option<SuspectRun<'_>>, Shed> {
+    let context = &routed.context;
+    let Some(fingerprint) = fingerprint_if_needed(routed) else { return Ok(None) };
     let mut quarantine = lock(&context.quarantine);
     match quarantine.admit(fingerprint, send, context.clock.now()) {
         Admission::Clear => Ok(None),
@@ -47,35 +47,35 @@
 }
 
 /// Whether a request is neither suspected nor quarantined.
-pub fn is_clear(job: &Job) -> bool {
-    fingerprint_if_needed(job).is_none_or(|fingerprint| {
-        let now = job.context.clock.now();
-        let quarantine = lock(&job.context.quarantine);
+pub fn is_clear(routed: &RoutedRequest) -> bool {
+    fingerprint_if_needed(routed).is_none_or(|fingerprint| {
+        let now = routed.context.clock.now();
+        let quarantine = lock(&routed.context.quarantine);
         quarantine.admit(fingerprint, SendKind::First, now) == Admission::Clear
     })
 }
 
 /// Returns the request's fingerprint; `None` while there are no records, to avoid hashing requests.
-fn fingerprint_if_needed(job: &Job) -> Option<RequestFingerprint> {
-    let has_records = !lock(&job.context.quarantine).is_empty();
-    has_records.then(|| job.fingerprint())
+fn fingerprint_if_needed(routed: &RoutedRequest) -> Option<RequestFingerprint> {
+    let has_records = !lock(&routed.context.quarantine).is_empty();
+    has_records.then(|| routed.fingerprint())
 }
 
 /// Records and logs that a target crashed while running a request that was sent to it at `sent_at`.
-pub fn note_crash(job: &Job, target: &TargetId, sent_at: Mono) {
-    let context = &job.context;
-    let (fingerprint, now) = (job.fingerprint(), context.clock.now());
+pub fn record_crash(routed: &RoutedRequest, target: &TargetId, sent_at: Mono) {
+    let context = &routed.context;
+    let (fingerprint, now) = (routed.fingerprint(), context.clock.now());
     let mut quarantine = lock(&context.quarantine);
     let Some(crashes) = quarantine.record_crash(fingerprint, sent_at, now) else { return };
     let admission = quarantine.admit(fingerprint, SendKind::First, now);
     drop(quarantine);
     counter!("shallotfork_target_crashes").increment(1);
     event!(context.log, TARGET_CRASHED,
-        "request" => &job.request_id,
+        "request" => &routed.request_id,
         "fingerprint" => fingerprint.to_string(),
-        "route" => job.route.name.as_str(),
-        "path" => job.request.path_and_query.path(),
-        "service" => job.service.as_str(),
+        "route" => routed.route.name.as_str(),
+        "path" => routed.request.path_and_query.path(),
+        "service" => routed.service.as_str(),
         "target" => target.as_str(),
         "crashes" => crashes,
     );
@@ -85,14 +85,14 @@
 }
 
 /// Records that a target answered the request.
-pub fn note_answer(job: &Job) {
-    if let Some(fingerprint) = fingerprint_if_needed(job) {
-        lock(&job.context.quarantine).record_answer(fingerprint, job.context.clock.now());
+pub fn record_answer(routed: &RoutedRequest) {
+    if let Some(fingerprint) = fingerprint_if_needed(routed) {
+        lock(&routed.context.quarantine).record_answer(fingerprint, routed.context.clock.now());
     }
 }
 
-/// Logs that a request was quarantined. `source` is `own` for crashes that this process observed and
-/// `peer` for a report from a peer.
+/// Logs that a request was quarantined. `source` is `own` for crashes that this process observed
+/// and `peer` for a report from a peer.
 pub fn log_quarantined(context: &Context, fingerprint: RequestFingerprint, source: &str) {
     event!(context.log, REQUEST_QUARANTINED,
         "fingerprint" => fingerprint.to_string(), "source" => source);
--- a/crates/gateway/src/traffic/rate_limit.rs
+++ b/crates/gateway/src/traffic/rate_limit.rs
@@ -17,7 +17,7 @@
 }
 
 /// Records the rate limit that an answer advertises and applies it if it has changed.
-pub fn note_rate_limit(context: &Context, target: &TargetId, answer: &WholeAnswer) {
+pub fn record_rate_limit(context: &Context, target: &TargetId, answer: &WholeAnswer) {
     let limit = match advertised_limit(context, target, answer) {
         AdvertisedLimit::Limit(limit) => Some(limit),
         AdvertisedLimit::NoLimit => None,
@@ -31,7 +31,8 @@
 }
 
 /// Applies a changed rate limit to the slots of all services and logs the change. `source` is `own`
-/// for an answer to this process, `peer` for a report from a peer, and `lapsed` for an expired limit.
+/// for an answer to this process, `peer` for a report from a peer, and `lapsed` for an expired
+/// limit.
 pub fn apply_rate_limit(
     context: &Context,
     target: &TargetId,
--- a/crates/gateway/src/traffic/service_load.rs
+++ b/crates/gateway/src/traffic/service_load.rs
@@ -1,5 +1,5 @@
-//! Tells once a second how full each service's slots are, how late this process is and what still
-//! runs in evacuated failure domains, so that a refusal can be explained.
+//! Reports once a second the use of each service's slots, the scheduling delay of this process and
+//! the requests still running in evacuated failure domains, so that rejections can be explained.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,48 +12,48 @@
 use shallotfork_types::ServiceName;
 
 use crate::context::{Context, lock};
-use crate::traffic::Probes;
+use crate::traffic::ProbeTotals;
 
-/// Time between two lines of a service. A queue that matters lasts for longer, and one line for a
-/// few services in a second is nothing beside the lines about requests.
-const EVERY: Duration = Duration::from_secs(1);
+/// Interval between two log lines about a service. A relevant queue lasts longer than this, and one
+/// line a second for each of a few services adds little to the lines about requests.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reports for as long as the process runs.
+/// Reports load and scheduling delay for as long as the process runs.
 pub async fn report_service_load(context: Arc<Context>, timer: TimerService) {
-    let mut ticks = timer.subscribe(Schedule::new(EVERY));
+    let mut ticks = timer.subscribe(Schedule::new(REPORT_INTERVAL));
     let mut counts = TargetCounts::default();
     while ticks.tick().await.is_some() {
-        report_lateness(&context);
+        report_scheduling_delay(&context);
         counts = report_connections(&context, counts);
         report_quarantine(&context);
         report_evacuations(&context);
         for (service, slots) in context.services.all() {
-            report(&context, &service, &slots.summary());
+            report_slots(&context, &service, &slots.summary());
         }
     }
 }
 
-fn report_lateness(context: &Context) {
-    let late = context.late_by();
-    gauge!("shallotfork_lateness_seconds").set(late.as_secs_f64());
+fn report_scheduling_delay(context: &Context) {
+    let delay = context.late_by();
+    gauge!("shallotfork_lateness_seconds").set(delay.as_secs_f64());
     if !context.is_behind() {
         return;
     }
     event!(context.log, BEHIND,
-        "late_ms" => u64::try_from(late.as_millis()).unwrap_or(u64::MAX),
+        "late_ms" => u64::try_from(delay.as_millis()).unwrap_or(u64::MAX),
         "connections" => context.callers.connections(),
         "in_flight" => context.callers.in_flight(),
     );
 }
 
-/// Connections and questions to targets since the process began.
+/// Connections opened and probes sent to targets since the start of the process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct TargetCounts {
     openings: Openings,
-    probes: Probes,
+    probes: ProbeTotals,
 }
 
-/// Reports what was added since `before`; returns the counts of now.
+/// Logs the connections and probes since `before`. Returns the current counts.
 fn report_connections(context: &Context, before: TargetCounts) -> TargetCounts {
     let now =
         TargetCounts { openings: context.links.openings(), probes: context.probe_counts.read() };
@@ -62,8 +62,8 @@
             "for_requests" => now.openings.requests - before.openings.requests,
             "for_probes" => now.openings.probes - before.openings.probes,
             "for_port_checks" => now.openings.port_checks - before.openings.port_checks,
-            "probes" => now.probes.asked - before.probes.asked,
-            "probes_silent" => now.probes.silent - before.probes.silent,
+            "probes" => now.probes.sent - before.probes.sent,
+            "probes_silent" => now.probes.unanswered - before.probes.unanswered,
         );
     }
     now
@@ -77,27 +77,27 @@
 fn report_evacuations(context: &Context) {
     let evacuated = Arc::clone(&context.published.load().evacuated);
     let services = context.services.all();
-    let mut running_in_all = 0;
+    let mut running_total = 0;
     for evacuation in evacuated.values() {
         let domain = &evacuation.failure_domain;
         let running: usize = services.iter().map(|(_, slots)| slots.running_in(domain)).sum();
-        running_in_all += running;
+        running_total += running;
         if running == 0 {
             continue;
         }
-        let since = context.clock.now().since(evacuation.learned_at);
+        let elapsed = context.clock.now().since(evacuation.learned_at);
         event!(context.log, EVACUATION_RUNNING,
             "failure_domain" => domain.as_str(),
             "revision" => evacuation.revision.value(),
-            "since_ms" => u64::try_from(since.as_millis()).unwrap_or(u64::MAX),
+            "since_ms" => u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX),
             "running" => running,
         );
     }
     gauge!("shallotfork_evacuated_domains").set(evacuated.len() as f64);
-    gauge!("shallotfork_evacuated_running").set(running_in_all as f64);
+    gauge!("shallotfork_evacuated_running").set(running_total as f64);
 }
 
-fn report(context: &Context, service: &ServiceName, load: &SlotSummary) {
+fn report_slots(context: &Context, service: &ServiceName, load: &SlotSummary) {
     let label = service.to_string();
     gauge!("shallotfork_queued", "service" => label.clone()).set(load.queued as f64);
     gauge!("shallotfork_running", "service" => label.clone()).set(load.running as f64);
--- a/crates/gateway/src/traffic/service_slots.rs
+++ b/crates/gateway/src/traffic/service_slots.rs
@@ -19,81 +19,81 @@
 
 use crate::context::lock;
 
-/// A service without a request for this long needs no probes.
+/// Time without a request after which the targets of a service are no longer probed.
 const IDLE_AFTER: Duration = Duration::from_secs(1);
 
-type Place = Result<Assigned, Shed>;
+type SlotResult = Result<SlotGuard, Shed>;
 
-/// Wraps the pure pool in a lock and wakes the requests that wait in it.
+/// Slot pool of a service behind a lock. Wakes the requests that wait for a slot.
 #[derive(Debug)]
 pub struct ServiceSlots {
     name: ServiceName,
     clock: Clock,
     log: Logger,
-    /// Signalled when a request begins to wait.
-    waits: Arc<Notify>,
+    /// Notified when a request starts to wait.
+    request_queued: Arc<Notify>,
     inner: Mutex<Inner>,
 }
 
 #[derive(Debug)]
 struct Inner {
     pool: SlotPool,
-    repeats: RetryWindow,
-    waiting: HashMap<Ticket, oneshot::Sender<Place>>,
-    asked_at: Option<Mono>,
+    retries: RetryWindow,
+    waiting: HashMap<Ticket, oneshot::Sender<SlotResult>>,
+    last_request_at: Option<Mono>,
 }
 
-/// Leave to send one attempt; gives the slot back when dropped.
+/// Permit to send one attempt to a target; releases the slot when dropped.
 ///
-/// A caller that hangs up drops its request anywhere; without the drop the slot would count as
-/// taken for ever.
+/// A request may be dropped at any await point when its caller disconnects. Without the release on
+/// drop, the slot would stay in use forever.
 #[derive(Debug)]
-pub struct Assigned {
+pub struct SlotGuard {
     slots: Arc<ServiceSlots>,
     assignment: Assignment,
-    ended: bool,
+    is_finished: bool,
 }
 
-impl Assigned {
-    /// Where to send the attempt.
+impl SlotGuard {
+    /// Returns the target of the attempt.
     pub fn target(&self) -> &TargetId {
         &self.assignment.target
     }
 
-    /// Whether another slot, or a later one, is better now.
-    pub fn is_unfit(&self, ask: &SlotRequest) -> bool {
+    /// Whether another or a later slot would now be better for the request.
+    pub fn is_unfit(&self, request: &SlotRequest) -> bool {
         let now = self.slots.clock.now();
-        self.slots.lock().pool.is_unfit(&self.assignment, ask, now)
+        self.slots.lock().pool.is_unfit(&self.assignment, request, now)
     }
 
-    /// Says that the attempt leaves for its target now. Returns whether the target is cold.
-    pub fn sending(&self) -> bool {
+    /// Records that the attempt is sent now. Returns whether the target is cold.
+    pub fn mark_sent(&self) -> bool {
         let now = self.slots.clock.now();
         self.slots.lock().pool.mark_sent(self.assignment.attempt, now)
     }
 
-    /// Reports how the attempt ended, with the load that the target reported in its answer.
-    pub fn finish(mut self, outcome: SlotOutcome, figures: Option<TargetLoad>) {
-        self.ended = true;
-        self.slots.finish(self.assignment.attempt, outcome, figures);
+    /// Records the outcome of the attempt and the load that the target reported in its answer.
+    pub fn finish(mut self, outcome: SlotOutcome, reported_load: Option<TargetLoad>) {
+        self.is_finished = true;
+        self.slots.finish(self.assignment.attempt, outcome, reported_load);
     }
 }
 
-impl Drop for Assigned {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.is_finished {
             self.slots.finish(self.assignment.attempt, SlotOutcome::Cancelled, None);
         }
     }
 }
 
-/// Takes a request out of the queue when its caller hangs up.
-struct Waiting<'a> {
+/// Removes a request from the queue when its caller disconnects.
+struct QueueGuard<'a> {
     slots: &'a ServiceSlots,
     ticket: Ticket,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         let mut inner = self.slots.lock();
         if inner.waiting.remove(&self.ticket).is_some() {
@@ -103,85 +103,85 @@
 }
 
 impl ServiceSlots {
-    /// A service without targets.
+    /// Creates the slots of a service without targets.
     pub fn new(
         name: ServiceName,
         config: SlotPoolConfig,
         retry_window: Duration,
         clock: Clock,
         log: Logger,
-        waits: Arc<Notify>,
+        request_queued: Arc<Notify>,
     ) -> Arc<Self> {
         let inner = Inner {
             pool: SlotPool::new(config),
-            repeats: RetryWindow::new(retry_window),
+            retries: RetryWindow::new(retry_window),
             waiting: HashMap::new(),
-            asked_at: None,
+            last_request_at: None,
         };
-        Arc::new(Self { name, clock, log, waits, inner: Mutex::new(inner) })
+        Arc::new(Self { name, clock, log, request_queued, inner: Mutex::new(inner) })
     }
 
-    /// Counts a request of a caller, for the limit on repeated sends.
-    pub fn count_request(&self) {
+    /// Records a request of a caller, which raises the limit on retries.
+    pub fn record_request(&self) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        inner.repeats.record_request(now);
-        inner.asked_at = Some(now);
+        inner.retries.record_request(now);
+        inner.last_request_at = Some(now);
     }
 
-    /// Takes leave to send a request once more.
-    pub fn try_repeat(&self, allowance: RetryAllowance) -> bool {
+    /// Acquires permission for a retry or a hedge. Returns whether the allowance still permits one.
+    pub fn try_acquire_retry(&self, allowance: RetryAllowance) -> bool {
         let now = self.clock.now();
-        self.lock().repeats.try_acquire(allowance, now)
+        self.lock().retries.try_acquire(allowance, now)
     }
 
-    /// A slot for a request; waits for it when needed.
+    /// Acquires a slot for a request; waits until one is available.
     ///
     /// # Errors
-    /// The refusal, with the time after which the caller may come back.
-    pub async fn admit(self: &Arc<Self>, ask: SlotRequest) -> Place {
+    /// Returns the rejection, with the time after which the caller may try again.
+    pub async fn admit(self: &Arc<Self>, request: SlotRequest) -> SlotResult {
         let now = self.clock.now();
-        let (admission, receiver) = self.lock().place(ask, now);
+        let (admission, receiver) = self.lock().request_slot(request, now);
         match (admission, receiver) {
-            (Admission::Send(assignment), _) => Ok(self.assigned(assignment)),
+            (Admission::Send(assignment), _) => Ok(self.slot_guard(assignment)),
             (Admission::Shed(shed), _) => Err(shed),
             (Admission::Queued(ticket), receiver) => {
-                let _waiting = Waiting { slots: self, ticket };
-                self.waits.notify_one();
-                let place = receiver.expect("a queued request has a receiver").await;
-                place.expect("every ticket is resolved before its sender is dropped")
+                let _queue_guard = QueueGuard { slots: self, ticket };
+                self.request_queued.notify_one();
+                let result = receiver.expect("a queued request has a receiver").await;
+                result.expect("every ticket is resolved before its sender is dropped")
             }
         }
     }
 
-    /// What to tell a caller whose request reached targets but ran at none of them.
-    pub fn shed(&self) -> Shed {
+    /// Returns the rejection of a request that was sent to targets but not run by any of them.
+    pub fn shed_no_target(&self) -> Shed {
         let now = self.clock.now();
         self.lock().pool.shed_no_target(now)
     }
 
-    /// A slot at a second target for a request in flight, if one is free and nobody waits.
-    pub fn spare(self: &Arc<Self>, ask: &SlotRequest) -> Option<Assigned> {
+    /// Returns a slot at a second target for a request in flight, if one is free and none waits.
+    pub fn assign_hedge(self: &Arc<Self>, request: &SlotRequest) -> Option<SlotGuard> {
         let now = self.clock.now();
-        let assignment = self.lock().pool.assign_hedge(ask, now)?;
-        Some(self.assigned(assignment))
+        let assignment = self.lock().pool.assign_hedge(request, now)?;
+        Some(self.slot_guard(assignment))
     }
 
-    /// Sets the names of the entries that send requests to the targets, and the part of what cold
-    /// targets bear that these may use.
-    pub fn set_sharers(&self, sharers: Vec<String>, part: Permille) {
+    /// Sets the names of the entries that share the targets, and the share of the cold targets'
+    /// warm-up rate that these entries may use together.
+    pub fn set_sharers(&self, sharers: Vec<String>, share: Permille) {
         let now = self.clock.now();
-        self.lock().pool.set_sharers(sharers, part, now);
+        self.lock().pool.set_sharers(sharers, share, now);
     }
 
-    /// Sets what the targets bear while they are cold.
+    /// Sets the warm-up of the targets, which limits their requests while they are cold.
     pub fn set_warmup(&self, warmup: Option<Warmup>) {
         let now = self.clock.now();
         self.lock().pool.set_warmup(warmup, now);
     }
 
-    /// Takes a target's own word on how much longer it is cold.
-    pub fn told_cold_for(&self, target: &TargetId, cold_for: Duration) {
+    /// Records a target's report of how much longer it stays cold.
+    pub fn record_cold_report(&self, target: &TargetId, cold_for: Duration) {
         let now = self.clock.now();
         if self.lock().pool.record_cold_report(target, cold_for, now) {
             event!(self.log, TARGET_COLD, "service" => self.name.as_str(),
@@ -196,89 +196,90 @@
         self.lock().pool.set_rate_limit(target, limit, now);
     }
 
-    /// Takes the published targets.
+    /// Sets the published targets.
     pub fn set_targets(self: &Arc<Self>, targets: Vec<SlotTarget>) {
         let now = self.clock.now();
-        let woken = self.lock().pool.set_targets(targets, now);
-        self.deliver(woken);
+        let resolved = self.lock().pool.set_targets(targets, now);
+        self.deliver(resolved);
     }
 
-    /// Forgets what is known of a target that has started again.
+    /// Resets the state of a target that has restarted.
     pub fn reset_target(&self, target: &TargetId) {
         let now = self.clock.now();
         self.lock().pool.reset_target(target, now);
     }
 
-    /// Takes a target's account of its load that came with a probe's answer.
-    pub fn report(self: &Arc<Self>, target: &TargetId, figures: TargetLoad) {
+    /// Records the load that a target reported in its answer to a probe.
+    pub fn record_load(self: &Arc<Self>, target: &TargetId, reported_load: TargetLoad) {
         let now = self.clock.now();
-        let woken = self.lock().pool.record_load(target, figures, now);
-        self.deliver(woken);
+        let resolved = self.lock().pool.record_load(target, reported_load, now);
+        self.deliver(resolved);
     }
 
-    /// Whether a target should be asked for its pace before a request is sent to it.
-    pub fn wants_check(&self, target: &TargetId) -> bool {
+    /// Whether a target should be probed for its slowdown before a request is sent to it.
+    pub fn needs_probe(&self, target: &TargetId) -> bool {
         let now = self.clock.now();
         self.lock().pool.needs_probe(target, now)
     }
 
-    /// A target answered without telling its load.
-    pub fn untold(&self) {
+    /// Records that the target of a request answered a probe without reporting its load, or could
+    /// not be probed.
+    pub fn record_missing_load(&self) {
         self.lock().pool.record_missing_load();
     }
 
-    /// A target has answered soon when it was asked for its load.
-    pub fn answered_soon(&self) {
+    /// Records that a target answered a probe promptly.
+    pub fn record_prompt_probe(&self) {
         self.lock().pool.record_prompt_probe();
     }
 
-    /// What to tell a caller whose request found only targets that are full; `None` if it can't be told
-    /// whether they are.
+    /// Returns the rejection of a request that found only full targets; `None` if it is uncertain
+    /// whether they are full.
     pub fn shed_full(&self) -> Option<Shed> {
         let now = self.clock.now();
         self.lock().pool.shed_full(now)
     }
 
-    /// A target has not answered soon when it was asked for its load.
-    pub fn unanswered(&self, target: &TargetId) {
+    /// Records that a target did not answer a probe promptly.
+    pub fn record_unanswered_probe(&self, target: &TargetId) {
         self.lock().pool.record_unanswered_probe(target);
     }
 
-    /// A target has answered a question about its load without telling it.
-    pub fn probe_answered(&self, target: &TargetId) {
+    /// Records that a target answered a probe without reporting its load.
+    pub fn record_probe_without_load(&self, target: &TargetId) {
         self.lock().pool.record_probe_without_load(target);
     }
 
-    /// A target could not be asked for its load, or has not answered at all; this process noticed too
-    /// late by `late_by`.
-    pub fn probe_failed(&self, target: &TargetId, late_by: Duration) {
+    /// Records that a target could not be probed or did not answer before the timeout. `delay` is
+    /// the time from that timeout until this process noticed it.
+    pub fn record_failed_probe(&self, target: &TargetId, delay: Duration) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        inner.pool.record_failed_probe(target, late_by, now);
-        let beliefs = inner.pool.take_state_changes();
+        inner.pool.record_failed_probe(target, delay, now);
+        let changes = inner.pool.take_state_changes();
         drop(inner);
-        self.report_beliefs(&beliefs);
+        self.log_state_changes(&changes);
     }
 
-    /// Targets to probe now; none while the service is not used.
+    /// Returns the targets to probe now; none while the service is idle.
     pub fn due_probes(&self) -> Vec<TargetId> {
         let now = self.clock.now();
         let mut inner = self.lock();
-        let used = inner.asked_at.is_some_and(|at| now.since(at) < IDLE_AFTER);
-        if used { inner.pool.due_probes(now) } else { Vec::new() }
+        let in_use = inner.last_request_at.is_some_and(|at| now.since(at) < IDLE_AFTER);
+        if in_use { inner.pool.due_probes(now) } else { Vec::new() }
     }
 
-    /// Usual time of a class of requests.
+    /// Returns the usual time of a class of requests.
     pub fn usual_time(&self, class: &WorkClass) -> Duration {
         self.lock().pool.usual_time(class)
     }
 
-    /// Attempts in flight at targets of one failure domain.
+    /// Returns the number of attempts in flight at targets of a failure domain.
     pub fn running_in(&self, failure_domain: &FailureDomain) -> usize {
         self.lock().pool.running_in(failure_domain)
     }
 
-    /// What the slots look like now.
+    /// Returns a summary of the current state of the slots.
     pub fn summary(&self) -> SlotSummary {
         let now = self.clock.now();
         self.lock().pool.summary(now)
@@ -289,40 +290,40 @@
         !self.lock().waiting.is_empty()
     }
 
-    /// Ends those who have waited long enough. To be called at short intervals: were each waiting
-    /// request to look after the queue, all of them would wake up for each one's end.
+    /// Resolves queued requests whose wait is over. Called at short intervals for the whole queue:
+    /// if each waiting request did this itself, all of them would wake up for the end of each one.
     pub fn expire(self: &Arc<Self>) {
         let now = self.clock.now();
         let mut inner = self.lock();
         if inner.waiting.is_empty() {
             return;
         }
-        let woken = inner.pool.expire(now);
+        let resolved = inner.pool.expire(now);
         drop(inner);
-        self.deliver(woken);
+        self.deliver(resolved);
     }
 
-    fn assigned(self: &Arc<Self>, assignment: Assignment) -> Assigned {
-        Assigned { slots: Arc::clone(self), assignment, ended: false }
+    fn slot_guard(self: &Arc<Self>, assignment: Assignment) -> SlotGuard {
+        SlotGuard { slots: Arc::clone(self), assignment, is_finished: false }
     }
 
     fn finish(
         self: &Arc<Self>,
         attempt: AttemptId,
         outcome: SlotOutcome,
-        figures: Option<TargetLoad>,
+        reported_load: Option<TargetLoad>,
     ) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        let woken = inner.pool.finish(attempt, outcome, figures, now);
-        let beliefs = inner.pool.take_state_changes();
+        let resolved = inner.pool.finish(attempt, outcome, reported_load, now);
+        let changes = inner.pool.take_state_changes();
         drop(inner);
-        self.report_beliefs(&beliefs);
-        self.deliver(woken);
+        self.log_state_changes(&changes);
+        self.deliver(resolved);
     }
 
-    fn report_beliefs(&self, beliefs: &[TargetStateChange]) {
-        for TargetStateChange { target, change } in beliefs {
+    fn log_state_changes(&self, changes: &[TargetStateChange]) {
+        for TargetStateChange { target, change } in changes {
             let (service, target) = (self.name.as_str(), target.as_str());
             match change {
                 StateChange::Ejected { failures, pause } => {
@@ -337,17 +338,17 @@
         }
     }
 
-    /// Hands out places with the lock released: a receiver that is gone drops its place, which
-    /// takes the lock again.
-    fn deliver(self: &Arc<Self>, woken: Vec<ResolvedTicket>) {
-        for ResolvedTicket { ticket, resolution } in woken {
-            let place = match resolution {
-                Resolution::Send(assignment) => Ok(self.assigned(assignment)),
+    /// Sends the results to the waiting requests with the lock released: if a receiver is gone, its
+    /// slot is dropped, which takes the lock again.
+    fn deliver(self: &Arc<Self>, resolved: Vec<ResolvedTicket>) {
+        for ResolvedTicket { ticket, resolution } in resolved {
+            let result = match resolution {
+                Resolution::Send(assignment) => Ok(self.slot_guard(assignment)),
                 Resolution::Shed(shed) => Err(shed),
             };
             let sender = self.lock().waiting.remove(&ticket);
             if let Some(sender) = sender {
-                let _gone = sender.send(place);
+                let _receiver_gone = sender.send(result);
             }
         }
     }
@@ -358,14 +359,14 @@
 }
 
 impl Inner {
-    /// Asks the pool and, for a queued request, makes the channel that wakes it, in one step: the
-    /// ticket could be woken as soon as the lock is released.
-    fn place(
+    /// Requests a slot from the pool and, if the request is queued, creates the channel that wakes
+    /// it under the same lock, because the ticket may be resolved as soon as the lock is released.
+    fn request_slot(
         &mut self,
-        ask: SlotRequest,
+        request: SlotRequest,
         now: Mono,
-    ) -> (Admission, Option<oneshot::Receiver<Place>>) {
-        let admission = self.pool.admit(ask, now);
+    ) -> (Admission, Option<oneshot::Receiver<SlotResult>>) {
+        let admission = self.pool.admit(request, now);
         let Admission::Queued(ticket) = admission else {
             return (admission, None);
         };
