--- a/crates/gateway/src/traffic/attempts.rs
+++ b/crates/gateway/src/traffic/attempts.rs
@@ -39,7 +39,7 @@
 const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 /// Share of the fleet's fixed retry allowance for the advertised entries. After a change of the
 /// advertised entry, some callers use the previous one until their cached answer expires, so twice
-/// this share must be less than the whole.
+/// this share must be less than the original.
 const ADVERTISED_SHARE: Permille = Permille::new(450);
 
 /// Outcome of a caller's request.
@@ -413,12 +413,12 @@
     remaining: Duration,
 ) -> Option<Request<Full<Bytes>>> {
     let names = &routed.context.dialect.headers;
-    let whole = &routed.request;
-    let uri = Uri::from(whole.path_and_query.clone());
-    let mut request = Request::new(Full::new(whole.body.clone()));
-    *request.method_mut() = whole.method.clone();
+    let original = &routed.request;
+    let uri = Uri::from(original.path_and_query.clone());
+    let mut request = Request::new(Full::new(original.body.clone()));
+    *request.method_mut() = original.method.clone();
     *request.uri_mut() = uri;
-    *request.headers_mut() = whole.headers.clone();
+    *request.headers_mut() = original.headers.clone();
     let remaining_ms = u64::try_from(remaining.as_millis()).ok()?;
     let headers = request.headers_mut();
     headers.insert(names.deadline_ms.clone(), HeaderValue::from(remaining_ms));
