--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -20,7 +20,7 @@
 use crate::log_budget::LogBudget;
 use crate::settings::GatewaySettings;
 use crate::snapshot::{FleetSnapshot, Published};
-use crate::traffic::{ProbeCounts, ServiceSlots};
+use crate::traffic::{ProbeCounters, ServiceSlots};
 
 /// Scheduling delay from which the process counts as overloaded. Callers notice longer delays; a
 /// process that is merely busy has shorter ones.
@@ -53,7 +53,7 @@
     /// Connections to targets.
     pub links: TargetLinks,
     /// Counts of load probes of targets, by outcome.
-    pub probe_counts: ProbeCounts,
+    pub probe_counts: ProbeCounters,
     /// Budget for the bodies held in memory.
     pub body_budget: BodyBudget,
     /// Slots of each service.
