--- a/crates/gateway/src/traffic/attempts.rs
+++ b/crates/gateway/src/traffic/attempts.rs
@@ -39,7 +39,7 @@
 const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 /// Share of the fleet's fixed retry allowance for the advertised entries. After a change of the
 /// advertised entry, some callers use the previous one until their cached answer expires, so twice
-/// this share must be less than the original.
+/// this share must be less than the whole.
 const ADVERTISED_SHARE: Permille = Permille::new(450);
 
 /// Outcome of a caller's request.
