--- a/crates/exchange/src/ahead.rs
+++ b/crates/exchange/src/ahead.rs
@@ -13,7 +13,7 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
 use crate::heads_ahead::HeadsAhead;
-use crate::presence::CallerPresence;
+use crate::presence::CallerConnection;
 
 /// Bytes read ahead at most; a caller that sends more waits until its first requests are answered.
 const AHEAD_MAX_BYTES: usize = 64 * 1024;
@@ -77,8 +77,8 @@
     }
 
     /// Tells the requests on this connection whether their caller is still there.
-    pub(crate) fn presence(&self) -> CallerPresence {
-        CallerPresence::new(Arc::downgrade(&self.shared))
+    pub(crate) fn presence(&self) -> CallerConnection {
+        CallerConnection::new(Arc::downgrade(&self.shared))
     }
 
     fn lock(&self) -> MutexGuard<'_, Reading> {
--- a/crates/exchange/src/answer.rs
+++ b/crates/exchange/src/answer.rs
@@ -8,7 +8,7 @@
 
 /// An answer that arrived completely and matches its digest where one was given.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WholeAnswer {
+pub struct BufferedAnswer {
     /// The status.
     pub status: StatusCode,
     /// All headers but the hop-by-hop ones.
@@ -17,7 +17,7 @@
     pub body: Bytes,
 }
 
-impl WholeAnswer {
+impl BufferedAnswer {
     /// The answer for the caller that asked with `method`.
     ///
     /// `Content-Length` is set anew from the body, except where it describes a body that is not
--- a/crates/exchange/src/attempt.rs
+++ b/crates/exchange/src/attempt.rs
@@ -7,7 +7,7 @@
 use http::StatusCode;
 use shallotfork_types::{Endpoint, Mono, Verdict};
 
-use crate::read_whole::WholeRequest;
+use crate::read_request::BufferedRequest;
 
 /// Where and how a target is reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,14 +53,14 @@
 #[derive(Debug)]
 pub struct Attempt<S> {
     target: TargetAddress,
-    request: Arc<WholeRequest>,
+    request: Arc<BufferedRequest>,
     deadline: Mono,
     state: S,
 }
 
 impl Attempt<Unsent> {
     /// An attempt that gives up at `deadline`.
-    pub fn new(target: TargetAddress, request: Arc<WholeRequest>, deadline: Mono) -> Self {
+    pub fn new(target: TargetAddress, request: Arc<BufferedRequest>, deadline: Mono) -> Self {
         Self { target, request, deadline, state: Unsent }
     }
 
@@ -76,7 +76,7 @@
     }
 
     /// From here on the request may run.
-    pub fn sent(self) -> Attempt<Sent> {
+    pub fn into_sent(self) -> Attempt<Sent> {
         Attempt { target: self.target, request: self.request, deadline: self.deadline, state: Sent }
     }
 }
@@ -102,7 +102,7 @@
     }
 
     /// The request.
-    pub fn request(&self) -> &Arc<WholeRequest> {
+    pub fn request(&self) -> &Arc<BufferedRequest> {
         &self.request
     }
 
@@ -134,7 +134,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FailureCause {
     /// The deadline passed before the first byte left.
-    TooLate,
+    DeadlinePassed,
     /// No connection could be opened, or none within the time for it.
     ConnectFailed,
     /// The [`ConnectionGate`](crate::ConnectionGate) refused a new connection.
@@ -159,17 +159,17 @@
     /// All memory for bodies is in use.
     BudgetFull,
     /// The answer's body is not the one its `Content-Digest` was made from.
-    AnswerDigestDiffers,
+    AnswerDigestMismatch,
     /// The answer is not a final one, for instance a switch of protocols.
     AnswerNotFinal,
     /// The answer belongs to another request; the target sent more answers than it was asked for.
-    AnswerForeign,
+    AnswerMismatch,
 }
 
 impl fmt::Display for FailureCause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::TooLate => "the deadline passed before the request was sent",
+            Self::DeadlinePassed => "the deadline passed before the request was sent",
             Self::ConnectFailed => "no connection to the target",
             Self::ConnectRefusedByGate => "too many new connections to the target",
             Self::BadRequest => "the request can't be passed on",
@@ -180,9 +180,9 @@
             Self::AnswerIncomplete => "the target's answer is incomplete",
             Self::AnswerTooLarge => "the target's answer is over the limit",
             Self::BudgetFull => "too many bodies are held at the moment",
-            Self::AnswerDigestDiffers => "the target's answer differs from its Content-Digest",
+            Self::AnswerDigestMismatch => "the target's answer differs from its Content-Digest",
             Self::AnswerNotFinal => "the target's answer is not a final one",
-            Self::AnswerForeign => "the target's answer belongs to another request",
+            Self::AnswerMismatch => "the target's answer belongs to another request",
         })
     }
 }
@@ -213,7 +213,7 @@
     /// The status for a caller, when no further attempt is made.
     pub fn status(&self) -> StatusCode {
         match self.cause {
-            FailureCause::TooLate | FailureCause::Timeout => StatusCode::GATEWAY_TIMEOUT,
+            FailureCause::DeadlinePassed | FailureCause::Timeout => StatusCode::GATEWAY_TIMEOUT,
             FailureCause::Shed { .. }
             | FailureCause::StreamRefused
             | FailureCause::ConnectRefusedByGate
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -11,7 +11,7 @@
 use shallotfork_types::Mono;
 use thiserror::Error;
 
-use crate::answer::WholeAnswer;
+use crate::answer::BufferedAnswer;
 use crate::attempt::{Attempt, AttemptFailure, FailureCause, NotRunEvidence, Sent, Unsent};
 use crate::body_budget::BodyBudget;
 use crate::digest::{DigestCheck, check_digest};
@@ -19,7 +19,7 @@
 use crate::gate::{ConnectionGate, GateLayer, GateRefusal, with_target};
 use crate::gather::{Gather, GatherError};
 use crate::headers::{DEADLINE_HEADER, deadline_value, strip_hop_by_hop, strip_system_headers};
-use crate::read_whole::WholeRequest;
+use crate::read_request::BufferedRequest;
 use crate::send_mark::{LateError, MarkedBody, SendMark};
 
 const VIA_VALUE: HeaderValue = HeaderValue::from_static("1.1 shallotfork");
@@ -49,7 +49,7 @@
 }
 
 impl Exchange {
-    /// Opens no connection yet; `budget` is shared with [`read_whole`](crate::read_whole()).
+    /// Opens no connection yet; `budget` is shared with [`read_request`](crate::read_request()).
     ///
     /// # Errors
     /// When the HTTP clients can't be set up.
@@ -70,10 +70,10 @@
     ///
     /// # Errors
     /// The cause, and whether the request may have run.
-    pub async fn send(&self, attempt: Attempt<Unsent>) -> Result<WholeAnswer, AttemptFailure> {
+    pub async fn send(&self, attempt: Attempt<Unsent>) -> Result<BufferedAnswer, AttemptFailure> {
         let remaining = attempt.remaining((self.now)());
         if remaining.is_zero() {
-            return Err(attempt.not_run(FailureCause::TooLate));
+            return Err(attempt.not_run(FailureCause::DeadlinePassed));
         }
         let mark = SendMark::default();
         let Some(request) = self.request(&attempt, remaining, &mark) else {
@@ -86,7 +86,7 @@
             Err(_) => Err(timed_out(attempt, &mark)),
             Ok(Err(error)) => Err(failed(attempt, &mark, &error)),
             Ok(Ok(response)) => {
-                let attempt = attempt.sent();
+                let attempt = attempt.into_sent();
                 match tokio::time::timeout_at(deadline, self.read(&attempt, response)).await {
                     Err(_) => Err(attempt.may_have_run(FailureCause::Timeout)),
                     Ok(Err(cause)) => Err(attempt.may_have_run(cause)),
@@ -122,7 +122,7 @@
         &self,
         attempt: &Attempt<Sent>,
         mut response: Response,
-    ) -> Result<WholeAnswer, FailureCause> {
+    ) -> Result<BufferedAnswer, FailureCause> {
         let status = response.status();
         if status.is_informational() {
             return Err(FailureCause::AnswerNotFinal);
@@ -148,7 +148,7 @@
         }
         strip_hop_by_hop(&mut headers);
         strip_system_headers(&mut headers);
-        Ok(WholeAnswer { status, headers, body })
+        Ok(BufferedAnswer { status, headers, body })
     }
 }
 
@@ -169,7 +169,7 @@
         .connector_layer(GateLayer::new(Arc::clone(gate)))
 }
 
-fn headers(whole: &WholeRequest, http2: bool, remaining: Duration) -> HeaderMap {
+fn headers(whole: &BufferedRequest, http2: bool, remaining: Duration) -> HeaderMap {
     let mut headers = whole.headers.clone();
     headers.insert(DEADLINE_HEADER, deadline_value(remaining));
     headers.append(VIA, VIA_VALUE);
@@ -195,24 +195,24 @@
 fn check_answer(headers: &HeaderMap, body: &[u8]) -> Result<(), FailureCause> {
     match check_digest(headers, body) {
         DigestCheck::Absent | DigestCheck::Matches => Ok(()),
-        DigestCheck::Differs | DigestCheck::Malformed => Err(FailureCause::AnswerDigestDiffers),
+        DigestCheck::Differs | DigestCheck::Malformed => Err(FailureCause::AnswerDigestMismatch),
     }
 }
 
 fn timed_out(attempt: Attempt<Unsent>, mark: &SendMark) -> AttemptFailure {
     if mark.is_taken() {
-        return attempt.sent().may_have_run(FailureCause::Timeout);
+        return attempt.into_sent().may_have_run(FailureCause::Timeout);
     }
-    attempt.not_run(FailureCause::TooLate)
+    attempt.not_run(FailureCause::DeadlinePassed)
 }
 
 fn failed(attempt: Attempt<Unsent>, mark: &SendMark, error: &reqwest::Error) -> AttemptFailure {
     // HTTP/2 has sent the headers by the time the body ends in this error.
     if source_is::<LateError>(error) && !attempt.target().http2 {
-        return attempt.not_run(FailureCause::TooLate);
+        return attempt.not_run(FailureCause::DeadlinePassed);
     }
     if mark.is_taken() {
-        let attempt = attempt.sent();
+        let attempt = attempt.into_sent();
         if is_stream_refused(error) {
             return attempt.not_run(NotRunEvidence::StreamRefused);
         }
@@ -252,7 +252,7 @@
     None
 }
 
-fn judge(attempt: Attempt<Sent>, answer: WholeAnswer) -> Result<WholeAnswer, AttemptFailure> {
+fn judge(attempt: Attempt<Sent>, answer: BufferedAnswer) -> Result<BufferedAnswer, AttemptFailure> {
     if attempt.target().shed_status != Some(answer.status) {
         return Ok(answer);
     }
--- a/crates/exchange/src/gate.rs
+++ b/crates/exchange/src/gate.rs
@@ -27,9 +27,9 @@
 
 /// A gate that never refuses and never waits.
 #[derive(Debug, Default)]
-pub struct OpenGate;
+pub struct UnlimitedGate;
 
-impl ConnectionGate for OpenGate {
+impl ConnectionGate for UnlimitedGate {
     fn open(
         &self,
         _target: Endpoint,
--- a/crates/exchange/src/headers.rs
+++ b/crates/exchange/src/headers.rs
@@ -9,7 +9,7 @@
 };
 use shallotfork_types::{CallerName, IdempotencyKey};
 
-use crate::refusal::Refusal;
+use crate::refusal::Rejection;
 
 /// The session that an entry issued; read and removed here.
 pub const SESSION_HEADER: HeaderName = HeaderName::from_static("shallotfork-session");
@@ -97,7 +97,7 @@
 
 impl ControlHeaders {
     /// Reads the control headers and removes those that a target has no use for.
-    pub(crate) fn take(headers: &mut HeaderMap) -> Result<Self, Refusal> {
+    pub(crate) fn take(headers: &mut HeaderMap) -> Result<Self, Rejection> {
         let session = single(headers, &SESSION_HEADER)?.map(session).transpose()?;
         let key = single(headers, &KEY_HEADER)?.map(key).transpose()?;
         let deadline = single(headers, &DEADLINE_HEADER)?.map(deadline).transpose()?;
@@ -109,37 +109,37 @@
 }
 
 /// Two different values of one control header would leave open which one was meant.
-fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, Refusal> {
+fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, Rejection> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(Refusal::bad_header(name, "it occurs more than once"));
+        return Err(Rejection::bad_header(name, "it occurs more than once"));
     }
-    value.to_str().map(Some).map_err(|_| Refusal::bad_header(name, "it is not visible ASCII"))
+    value.to_str().map(Some).map_err(|_| Rejection::bad_header(name, "it is not visible ASCII"))
 }
 
-fn session(text: &str) -> Result<String, Refusal> {
+fn session(text: &str) -> Result<String, Rejection> {
     let fits = !text.is_empty() && text.len() <= MAX_SESSION_BYTES;
     if !fits {
-        return Err(Refusal::bad_header(&SESSION_HEADER, "expected 1 to 1024 characters"));
+        return Err(Rejection::bad_header(&SESSION_HEADER, "expected 1 to 1024 characters"));
     }
     Ok(text.to_owned())
 }
 
-fn key(text: &str) -> Result<IdempotencyKey, Refusal> {
-    text.parse().map_err(|error| Refusal::bad_header(&KEY_HEADER, &format!("{error}")))
+fn key(text: &str) -> Result<IdempotencyKey, Rejection> {
+    text.parse().map_err(|error| Rejection::bad_header(&KEY_HEADER, &format!("{error}")))
 }
 
-fn caller(text: &str) -> Result<CallerName, Refusal> {
-    text.parse().map_err(|error| Refusal::bad_header(&CALLER_HEADER, &format!("{error}")))
+fn caller(text: &str) -> Result<CallerName, Rejection> {
+    text.parse().map_err(|error| Rejection::bad_header(&CALLER_HEADER, &format!("{error}")))
 }
 
-fn deadline(text: &str) -> Result<Duration, Refusal> {
+fn deadline(text: &str) -> Result<Duration, Rejection> {
     let digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     if !digits {
-        return Err(Refusal::bad_header(&DEADLINE_HEADER, "expected a whole number"));
+        return Err(Rejection::bad_header(&DEADLINE_HEADER, "expected a whole number"));
     }
     let wait_ms = text.parse().unwrap_or(u64::MAX);
     Ok(Duration::from_millis(wait_ms).min(MAX_DEADLINE))
--- a/crates/exchange/src/link.rs
+++ b/crates/exchange/src/link.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 use crate::attempt::FailureCause;
-use crate::link_config::LinkConfig;
+use crate::link_config::ConnectionConfig;
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const TIMEOUT_PARAMETER: &str = "timeout=";
@@ -30,7 +30,7 @@
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
     used_at: Instant,
-    idle_max: Duration,
+    idle_timeout: Duration,
 }
 
 /// Why a request got no answer's head.
@@ -44,27 +44,29 @@
 
 impl Link {
     /// Opens a connection.
-    pub(crate) async fn open(endpoint: Endpoint, config: &LinkConfig) -> io::Result<Self> {
+    pub(crate) async fn open(endpoint: Endpoint, config: &ConnectionConfig) -> io::Result<Self> {
         let connecting = TcpStream::connect(endpoint.address());
         let stream = tokio::time::timeout(config.connect_timeout, connecting)
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         stream.set_nodelay(true)?;
-        watch_acknowledgements(&stream, config.unacknowledged_max)?;
+        watch_acknowledgements(&stream, config.unacknowledged_timeout)?;
         let (sender, connection) =
             handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
         let driver = tokio::spawn(async move {
             // The attempt that uses the connection learns of its end from its own future.
             let _ended = connection.await;
         });
-        Ok(Self { sender, driver, used_at: Instant::now(), idle_max: config.idle_max })
+        Ok(Self { sender, driver, used_at: Instant::now(), idle_timeout: config.idle_timeout })
     }
 
     /// Whether a request can be sent on it now: nothing is left over from the one before, and the
     /// target has neither closed it nor is about to.
-    pub(crate) fn is_usable(&self, idle_max: Duration) -> bool {
+    pub(crate) fn is_usable(&self, idle_timeout: Duration) -> bool {
         let idle = self.used_at.elapsed();
-        self.sender.is_ready() && !self.driver.is_finished() && idle < self.idle_max.min(idle_max)
+        self.sender.is_ready()
+            && !self.driver.is_finished()
+            && idle < self.idle_timeout.min(idle_timeout)
     }
 
     /// Sends a request and waits for the head of its answer.
@@ -81,10 +83,11 @@
     }
 
     /// Takes the target's word on how long it keeps the connection; `false` when it closes it.
-    pub(crate) fn keep(&mut self, headers: &HeaderMap, config: &LinkConfig) -> bool {
+    pub(crate) fn keep(&mut self, headers: &HeaderMap, config: &ConnectionConfig) -> bool {
         self.used_at = Instant::now();
         if let Some(timeout) = keep_alive(headers) {
-            self.idle_max = timeout.saturating_sub(config.keep_alive_margin).min(config.idle_max);
+            self.idle_timeout =
+                timeout.saturating_sub(config.keep_alive_margin).min(config.idle_timeout);
         }
         !says_close(headers)
     }
--- a/crates/exchange/src/links.rs
+++ b/crates/exchange/src/links.rs
@@ -13,29 +13,29 @@
 use shallotfork_types::{Endpoint, TargetId, Verdict};
 use tokio::time::Instant;
 
-use crate::answer::WholeAnswer;
+use crate::answer::BufferedAnswer;
 use crate::attempt::{AttemptFailure, FailureCause};
 use crate::body_budget::BodyBudget;
 use crate::gather::{Gather, GatherError};
 use crate::headers::strip_hop_by_hop;
 use crate::link::{Link, SendError};
-use crate::link_config::LinkConfig;
-use crate::openings::{OpeningCounters, Openings, Purpose};
+use crate::link_config::ConnectionConfig;
+use crate::openings::{ConnectionPurpose, OpenedConnections, OpeningCounters};
 
 /// Whether an answer is to the request that waits for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AnswerOwner {
+pub enum AnswerMatch {
     /// It is.
-    Own,
+    Match,
     /// It belongs to another request, or to none.
-    Foreign,
+    Mismatch,
 }
 
 /// Tells from an answer's head whose it is.
-pub type OwnerFn<'a> = &'a (dyn Fn(StatusCode, &HeaderMap) -> AnswerOwner + Sync);
+pub type AnswerMatchFn<'a> = &'a (dyn Fn(StatusCode, &HeaderMap) -> AnswerMatch + Sync);
 
 /// One request to one target.
-pub struct LinkRequest<'a> {
+pub struct TargetRequest<'a> {
     /// The target.
     pub target: &'a TargetId,
     /// Where it is reached.
@@ -47,11 +47,11 @@
     /// Whether a second run does no harm.
     pub repeatable: bool,
     /// Tells whose an answer is.
-    pub owner: OwnerFn<'a>,
+    pub answer_match: AnswerMatchFn<'a>,
     /// What a connection that has to be opened for it counts as.
-    pub purpose: Purpose,
+    pub purpose: ConnectionPurpose,
     /// Told when a new connection has been opened for it, before it is sent.
-    pub opened: &'a (dyn Fn() + Sync),
+    pub on_opened: &'a (dyn Fn() + Sync),
 }
 
 /// The connections of the process to all targets; cheap to clone.
@@ -61,16 +61,16 @@
 /// connection: targets may send a second answer to one request, and the next request on that
 /// connection would be answered with it.
 #[derive(Debug, Clone)]
-pub struct TargetLinks {
-    config: LinkConfig,
+pub struct TargetConnections {
+    config: ConnectionConfig,
     budget: BodyBudget,
     idle: Arc<Mutex<HashMap<TargetId, Vec<Link>>>>,
     openings: OpeningCounters,
 }
 
-impl TargetLinks {
+impl TargetConnections {
     /// Opens no connection yet.
-    pub fn new(config: LinkConfig, budget: BodyBudget) -> Self {
+    pub fn new(config: ConnectionConfig, budget: BodyBudget) -> Self {
         Self { config, budget, idle: Arc::default(), openings: OpeningCounters::default() }
     }
 
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     /// The cause, and whether the request may have run.
-    pub async fn send(&self, asked: LinkRequest<'_>) -> Result<WholeAnswer, AttemptFailure> {
+    pub async fn send(&self, asked: TargetRequest<'_>) -> Result<BufferedAnswer, AttemptFailure> {
         let until = Instant::now() + asked.timeout;
         let sending = tokio::time::timeout_at(until, self.send_on_a_link(&asked));
         let (mut link, response) = match sending.await {
@@ -88,8 +88,8 @@
             Err(_) => return Err(may_have_run(FailureCause::Timeout)),
         };
         let (status, headers) = (response.status(), response.headers().clone());
-        if (asked.owner)(status, &headers) == AnswerOwner::Foreign {
-            return Err(may_have_run(FailureCause::AnswerForeign));
+        if (asked.answer_match)(status, &headers) == AnswerMatch::Mismatch {
+            return Err(may_have_run(FailureCause::AnswerMismatch));
         }
         let reading = tokio::time::timeout_at(until, self.read(response));
         let answer = match reading.await {
@@ -104,16 +104,16 @@
     }
 
     /// Closes the idle connections to a target that is gone or has started again.
-    pub fn forget(&self, target: &TargetId) {
+    pub fn close_idle(&self, target: &TargetId) {
         self.lock().remove(target);
     }
 
     /// Closes idle connections that are no longer of use.
-    pub fn tidy(&self) {
-        let idle_max = self.config.idle_max;
+    pub fn prune_idle(&self) {
+        let idle_timeout = self.config.idle_timeout;
         let mut idle = self.lock();
         for links in idle.values_mut() {
-            links.retain(|link| link.is_usable(idle_max));
+            links.retain(|link| link.is_usable(idle_timeout));
         }
         idle.retain(|_, links| !links.is_empty());
     }
@@ -123,23 +123,23 @@
     /// Distinguishes a target that has crashed from one that has only reset a connection.
     /// Returns `false` for any other result, including a timeout.
     pub async fn refuses_connections(&self, endpoint: Endpoint) -> bool {
-        let opened = self.open(endpoint, Purpose::PortCheck).await;
+        let opened = self.open(endpoint, ConnectionPurpose::PortCheck).await;
         opened.is_err_and(|error| error.kind() == io::ErrorKind::ConnectionRefused)
     }
 
     /// Connections opened so far.
-    pub fn openings(&self) -> Openings {
+    pub fn opened_connections(&self) -> OpenedConnections {
         self.openings.read()
     }
 
-    async fn open(&self, endpoint: Endpoint, purpose: Purpose) -> io::Result<Link> {
+    async fn open(&self, endpoint: Endpoint, purpose: ConnectionPurpose) -> io::Result<Link> {
         self.openings.count(purpose);
         Link::open(endpoint, &self.config).await
     }
 
     async fn send_on_a_link(
         &self,
-        asked: &LinkRequest<'_>,
+        asked: &TargetRequest<'_>,
     ) -> Result<(Link, Response<Incoming>), AttemptFailure> {
         let mut request = asked.request.clone();
         while let Some(mut link) = self.take(asked) {
@@ -151,7 +151,7 @@
         }
         let opened = self.open(asked.endpoint, asked.purpose).await;
         let mut link = opened.map_err(|_| not_run(FailureCause::ConnectFailed))?;
-        (asked.opened)();
+        (asked.on_opened)();
         match link.send(request).await {
             Ok(response) => Ok((link, response)),
             Err(SendError::Unsent(_)) => Err(not_run(FailureCause::ConnectFailed)),
@@ -160,26 +160,26 @@
     }
 
     /// The connection used last, since it is the least likely to have been forgotten.
-    fn take(&self, asked: &LinkRequest<'_>) -> Option<Link> {
+    fn take(&self, asked: &TargetRequest<'_>) -> Option<Link> {
         let config = &self.config;
-        let idle_max =
-            if asked.repeatable { config.idle_max } else { config.idle_max_unrepeatable };
+        let idle_timeout =
+            if asked.repeatable { config.idle_timeout } else { config.idle_timeout_unrepeatable };
         let mut idle = self.lock();
         let links = idle.get_mut(asked.target)?;
-        let place = links.iter().rposition(|link| link.is_usable(idle_max))?;
+        let place = links.iter().rposition(|link| link.is_usable(idle_timeout))?;
         Some(links.swap_remove(place))
     }
 
     fn put_back(&self, target: &TargetId, link: Link) {
         let mut idle = self.lock();
         let links = idle.entry(target.clone()).or_default();
-        links.retain(|link| link.is_usable(self.config.idle_max));
+        links.retain(|link| link.is_usable(self.config.idle_timeout));
         if links.len() < self.config.idle_per_target_max {
             links.push(link);
         }
     }
 
-    async fn read(&self, response: Response<Incoming>) -> Result<WholeAnswer, FailureCause> {
+    async fn read(&self, response: Response<Incoming>) -> Result<BufferedAnswer, FailureCause> {
         let (parts, mut body) = response.into_parts();
         if parts.status.is_informational() {
             return Err(FailureCause::AnswerNotFinal);
@@ -195,7 +195,7 @@
         }
         let mut headers = parts.headers;
         strip_hop_by_hop(&mut headers);
-        Ok(WholeAnswer { status: parts.status, headers, body: gather.finish() })
+        Ok(BufferedAnswer { status: parts.status, headers, body: gather.finish() })
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<TargetId, Vec<Link>>> {
--- a/crates/exchange/src/openings.rs
+++ b/crates/exchange/src/openings.rs
@@ -5,7 +5,7 @@
 
 /// What a connection to a target is opened for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Purpose {
+pub enum ConnectionPurpose {
     /// To send a request of a caller.
     Request,
     /// To ask the target for its load.
@@ -16,7 +16,7 @@
 
 /// Connections opened since the process began, whether they were established or not.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Openings {
+pub struct OpenedConnections {
     /// For requests of callers.
     pub requests: u64,
     /// For questions about a target's load.
@@ -25,27 +25,27 @@
     pub port_checks: u64,
 }
 
-/// The counters behind [`Openings`]; clones share them.
+/// The counters behind [`OpenedConnections`]; clones share them.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct OpeningCounters {
     counters: Arc<[AtomicU64; 3]>,
 }
 
 impl OpeningCounters {
-    pub(crate) fn count(&self, purpose: Purpose) {
+    pub(crate) fn count(&self, purpose: ConnectionPurpose) {
         self.counter(purpose).fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(crate) fn read(&self) -> Openings {
+    pub(crate) fn read(&self) -> OpenedConnections {
         let read = |purpose| self.counter(purpose).load(Ordering::Relaxed);
-        Openings {
-            requests: read(Purpose::Request),
-            probes: read(Purpose::Probe),
-            port_checks: read(Purpose::PortCheck),
+        OpenedConnections {
+            requests: read(ConnectionPurpose::Request),
+            probes: read(ConnectionPurpose::Probe),
+            port_checks: read(ConnectionPurpose::PortCheck),
         }
     }
 
-    fn counter(&self, purpose: Purpose) -> &AtomicU64 {
+    fn counter(&self, purpose: ConnectionPurpose) -> &AtomicU64 {
         &self.counters[purpose as usize]
     }
 }
--- a/crates/exchange/src/read_whole.rs
+++ b/crates/exchange/src/read_request.rs
@@ -15,7 +15,7 @@
 use crate::discard::{DiscardLimits, discard};
 use crate::gather::{Gather, GatherError};
 use crate::headers::{ControlHeaders, strip_hop_by_hop};
-use crate::refusal::Refusal;
+use crate::refusal::Rejection;
 
 const ROOT: &str = "/";
 
@@ -30,7 +30,7 @@
 
 /// A caller's request with its complete body.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WholeRequest {
+pub struct BufferedRequest {
     /// The method.
     pub method: Method,
     /// Path and query as asked.
@@ -50,18 +50,18 @@
 /// # Errors
 /// The refusal to answer with, when the request is malformed, too large, too slow or incomplete.
 /// No target has seen any of it then.
-pub async fn read_whole(
+pub async fn read_request(
     request: poem::Request,
     limits: &BodyLimits,
     budget: &BodyBudget,
-) -> Result<WholeRequest, Refusal> {
+) -> Result<BufferedRequest, Rejection> {
     let (parts, body) = request.into_parts();
     let mut pieces = Box::pin(body.into_bytes_stream());
     // Reading the body would tell a caller who waits for 100 Continue to send it.
     let waits = parts.headers.contains_key(EXPECT);
     let read = read_parts(parts, &mut pieces, limits, budget).await;
     let has_ended =
-        matches!(read, Ok(_) | Err(Refusal::BodyTimeout { .. } | Refusal::BodyIncomplete));
+        matches!(read, Ok(_) | Err(Rejection::BodyTimeout { .. } | Rejection::BodyIncomplete));
     if !has_ended && !waits {
         let size_max_bytes = limits.body_max.value();
         let limits = DiscardLimits { size_max_bytes, timeout: limits.body_timeout };
@@ -75,7 +75,7 @@
     pieces: &mut (impl Stream<Item = io::Result<Bytes>> + Unpin),
     limits: &BodyLimits,
     budget: &BodyBudget,
-) -> Result<WholeRequest, Refusal> {
+) -> Result<BufferedRequest, Rejection> {
     let mut headers = parts.headers;
     check_method(&parts.method)?;
     check_framing(&headers, limits)?;
@@ -85,13 +85,13 @@
     let gathering = gather(pieces, limits, budget);
     let body = tokio::time::timeout(limits.body_timeout, gathering)
         .await
-        .map_err(|_| Refusal::BodyTimeout { limit: limits.body_timeout })??;
+        .map_err(|_| Rejection::BodyTimeout { limit: limits.body_timeout })??;
     check_body(&headers, &body)?;
     strip_hop_by_hop(&mut headers);
     headers.remove(EXPECT);
     headers.remove(CONTENT_LENGTH);
     let path_and_query = parts.uri.into_parts().path_and_query;
-    Ok(WholeRequest {
+    Ok(BufferedRequest {
         method: parts.method,
         path_and_query: path_and_query.unwrap_or(PathAndQuery::from_static(ROOT)),
         service,
@@ -101,44 +101,44 @@
     })
 }
 
-fn check_method(method: &Method) -> Result<(), Refusal> {
+fn check_method(method: &Method) -> Result<(), Rejection> {
     if method == Method::CONNECT {
-        return Err(Refusal::BadMethod { method: method.to_string() });
+        return Err(Rejection::BadMethod { method: method.to_string() });
     }
     Ok(())
 }
 
 /// Refuses a message with two lengths (RFC 9112, 6.1), by which a request can be hidden inside
 /// another one: the next hop might go by the other length.
-fn check_framing(headers: &HeaderMap, limits: &BodyLimits) -> Result<(), Refusal> {
+fn check_framing(headers: &HeaderMap, limits: &BodyLimits) -> Result<(), Rejection> {
     let mut lengths = headers.get_all(CONTENT_LENGTH).iter();
     let Some(length) = lengths.next() else {
         return Ok(());
     };
     if headers.contains_key(TRANSFER_ENCODING) || lengths.next().is_some() {
-        return Err(Refusal::bad_header(&CONTENT_LENGTH, "the body's length is given twice"));
+        return Err(Rejection::bad_header(&CONTENT_LENGTH, "the body's length is given twice"));
     }
     let declared: Option<u64> = length.to_str().ok().and_then(|text| text.parse().ok());
     let Some(declared) = declared else {
-        return Err(Refusal::bad_header(&CONTENT_LENGTH, "expected a whole number"));
+        return Err(Rejection::bad_header(&CONTENT_LENGTH, "expected a whole number"));
     };
     if declared > limits.body_max.value() {
-        return Err(Refusal::BodyTooLarge { limit: limits.body_max });
+        return Err(Rejection::BodyTooLarge { limit: limits.body_max });
     }
     Ok(())
 }
 
 /// RFC 9112, 3.2.2: the authority of an absolute request target goes before `Host`.
-fn service_of(uri: &Uri, headers: &HeaderMap) -> Result<ServiceName, Refusal> {
+fn service_of(uri: &Uri, headers: &HeaderMap) -> Result<ServiceName, Rejection> {
     if let Some(authority) = uri.authority() {
         return service_named(authority.host());
     }
     let mut hosts = headers.get_all(HOST).iter();
     let Some(host) = hosts.next() else {
-        return Err(Refusal::BadHost { reason: "no Host header".to_owned() });
+        return Err(Rejection::BadHost { reason: "no Host header".to_owned() });
     };
     if hosts.next().is_some() {
-        return Err(Refusal::BadHost { reason: "more than one Host header".to_owned() });
+        return Err(Rejection::BadHost { reason: "more than one Host header".to_owned() });
     }
     let text = host.to_str().unwrap_or_default();
     let name = text.rsplit_once(':').map_or(text, |(name, _port)| name);
@@ -147,7 +147,7 @@
 
 /// HTTP/2 sends no `Host`, and an absolute request target overrides it; the target is told the
 /// host that the caller meant.
-fn set_host(uri: &Uri, headers: &mut HeaderMap) -> Result<(), Refusal> {
+fn set_host(uri: &Uri, headers: &mut HeaderMap) -> Result<(), Rejection> {
     let Some(authority) = uri.authority() else {
         return Ok(());
     };
@@ -156,36 +156,36 @@
         None => authority.host().to_owned(),
     };
     let value = HeaderValue::try_from(host)
-        .map_err(|_| Refusal::BadHost { reason: "it is not visible ASCII".to_owned() })?;
+        .map_err(|_| Rejection::BadHost { reason: "it is not visible ASCII".to_owned() })?;
     headers.insert(HOST, value);
     Ok(())
 }
 
-fn service_named(name: &str) -> Result<ServiceName, Refusal> {
-    name.parse().map_err(|error| Refusal::BadHost { reason: format!("{error}") })
+fn service_named(name: &str) -> Result<ServiceName, Rejection> {
+    name.parse().map_err(|error| Rejection::BadHost { reason: format!("{error}") })
 }
 
 async fn gather(
     pieces: &mut (impl Stream<Item = io::Result<Bytes>> + Unpin),
     limits: &BodyLimits,
     budget: &BodyBudget,
-) -> Result<Bytes, Refusal> {
+) -> Result<Bytes, Rejection> {
     let mut gather = Gather::new(limits.body_max.value(), budget.permit());
     while let Some(piece) = pieces.next().await {
-        let piece = piece.map_err(|_| Refusal::BodyIncomplete)?;
+        let piece = piece.map_err(|_| Rejection::BodyIncomplete)?;
         gather.push(piece).map_err(|error| match error {
-            GatherError::TooLarge => Refusal::BodyTooLarge { limit: limits.body_max },
-            GatherError::BudgetFull => Refusal::BudgetFull,
+            GatherError::TooLarge => Rejection::BodyTooLarge { limit: limits.body_max },
+            GatherError::BudgetFull => Rejection::BudgetFull,
         })?;
     }
     Ok(gather.finish())
 }
 
-fn check_body(headers: &HeaderMap, body: &Bytes) -> Result<(), Refusal> {
+fn check_body(headers: &HeaderMap, body: &Bytes) -> Result<(), Rejection> {
     match check_digest(headers, body) {
         DigestCheck::Absent | DigestCheck::Matches => Ok(()),
-        DigestCheck::Differs => Err(Refusal::DigestDiffers),
-        DigestCheck::Malformed => Err(Refusal::BadHeader {
+        DigestCheck::Differs => Err(Rejection::DigestMismatch),
+        DigestCheck::Malformed => Err(Rejection::BadHeader {
             name: "content-digest".to_owned(),
             reason: "expected sha-256=:BASE64:".to_owned(),
         }),
--- a/crates/exchange/src/refusal.rs
+++ b/crates/exchange/src/refusal.rs
@@ -14,7 +14,7 @@
 
 /// Why a caller's request was not taken; no target has seen a byte of it.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Refusal {
+pub enum Rejection {
     /// `Host` or `:authority` is missing or names no service.
     #[error("the host names no service: {reason}")]
     BadHost {
@@ -52,13 +52,13 @@
     BodyIncomplete,
     /// The body is not the one its `Content-Digest` was made from.
     #[error("the body differs from its Content-Digest")]
-    DigestDiffers,
+    DigestMismatch,
     /// All memory for bodies is in use.
     #[error("too many bodies are held at the moment")]
     BudgetFull,
 }
 
-impl Refusal {
+impl Rejection {
     /// A header that can't be used.
     pub fn bad_header(name: &HeaderName, reason: &str) -> Self {
         Self::BadHeader { name: name.to_string(), reason: reason.to_owned() }
@@ -70,7 +70,7 @@
             Self::BadHost { .. }
             | Self::BadHeader { .. }
             | Self::BodyIncomplete
-            | Self::DigestDiffers => StatusCode::BAD_REQUEST,
+            | Self::DigestMismatch => StatusCode::BAD_REQUEST,
             Self::BadMethod { .. } => StatusCode::NOT_IMPLEMENTED,
             Self::BodyTooLarge { .. } => StatusCode::PAYLOAD_TOO_LARGE,
             Self::BodyTimeout { .. } => StatusCode::REQUEST_TIMEOUT,
--- a/crates/exchange/src/serve.rs
+++ b/crates/exchange/src/serve.rs
@@ -29,7 +29,7 @@
 use crate::activity::{Activity, TrackedStream};
 use crate::ahead::ReadAhead;
 use crate::early::{ArrivedAt, Awaited, EarlyRequests};
-use crate::presence::CallerPresence;
+use crate::presence::CallerConnection;
 use crate::serve_config::ServeConfig;
 
 /// Wait after a failed accept, which mostly means that the process is out of descriptors; without
@@ -124,25 +124,25 @@
     E: IntoEndpoint,
     E::Endpoint: 'static,
 {
-    serve_early(listener, endpoint, config, control, Arc::new(|_| false)).await
+    serve_pipelined(listener, endpoint, config, control, Arc::new(|_| false)).await
 }
 
 /// Tells from its head whether a request without a body may be begun before the one before it on
 /// its connection is answered. Such a request may run although its answer is never sent, so that
 /// only idempotent ones may.
-pub type EarlyFn = Arc<dyn Fn(&http::request::Parts) -> bool + Send + Sync>;
+pub type PipelineFn = Arc<dyn Fn(&http::request::Parts) -> bool + Send + Sync>;
 
 /// Like [`serve`], and begins requests that wait behind another one on their connection. Answers
 /// leave in the order of the requests all the same.
 ///
 /// # Errors
 /// As for [`serve`].
-pub async fn serve_early<E>(
+pub async fn serve_pipelined<E>(
     listener: TcpListener,
     endpoint: E,
     config: ServeConfig,
     control: ServeControl,
-    early: EarlyFn,
+    early: PipelineFn,
 ) -> Result<(), ServeError>
 where
     E: IntoEndpoint,
@@ -202,7 +202,7 @@
     remote: RemoteAddr,
     config: ServeConfig,
     control: ServeControl,
-    early: EarlyFn,
+    early: PipelineFn,
     /// Renewals that were asked for before this connection was opened.
     opened_after: u64,
     begun: Arc<EarlyRequests>,
@@ -250,7 +250,7 @@
         }
     }
 
-    fn found_ahead(&self, number: u64, head: http::request::Parts, presence: &CallerPresence) {
+    fn found_ahead(&self, number: u64, head: http::request::Parts, presence: &CallerConnection) {
         self.begun.arrived(number);
         // Its answer would not be sent, although it had reached a target.
         if self.is_closing() || !(self.early)(&head) {
@@ -283,7 +283,7 @@
         &self,
         request: http::Request<Incoming>,
         activity: &Arc<Activity>,
-        presence: &CallerPresence,
+        presence: &CallerConnection,
     ) -> impl Future<Output = Result<http::Response<BoxBody<Bytes, io::Error>>, Infallible>> + Send + use<>
     {
         let endpoint = Arc::clone(&self.endpoint);
@@ -321,9 +321,9 @@
 async fn respond(
     endpoint: AnyEndpoint,
     request: poem::Request,
-    presence: CallerPresence,
+    presence: CallerConnection,
 ) -> poem::Response {
-    if presence.has_left() {
+    if presence.is_closed() {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     }
     endpoint.get_response(request).await
--- a/crates/exchange/tests/answers.rs
+++ b/crates/exchange/tests/answers.rs
@@ -8,8 +8,8 @@
 
 use http::{Method, StatusCode};
 use shallotfork_exchange::{
-    AttemptFailure, BodyBudget, ConnectionGate, ConnectionPermit, Exchange, ExchangeConfig,
-    FailureCause, WholeAnswer,
+    AttemptFailure, BodyBudget, BufferedAnswer, ConnectionGate, ConnectionPermit, Exchange,
+    ExchangeConfig, FailureCause,
 };
 use shallotfork_types::{Bytes, Endpoint, Verdict};
 use support::{
@@ -23,7 +23,7 @@
     exchange: &Exchange,
     method: Method,
     answer: String,
-) -> Result<WholeAnswer, AttemptFailure> {
+) -> Result<BufferedAnswer, AttemptFailure> {
     let target = RawTarget::start(move |_, mut wire| {
         let answer = answer.clone();
         async move {
@@ -35,7 +35,7 @@
     exchange.send(RequestBuilder::new(method).attempt(target.target())).await
 }
 
-async fn answer(method: Method, answer: &str) -> WholeAnswer {
+async fn answer(method: Method, answer: &str) -> BufferedAnswer {
     ask(&exchange(), method, answer.to_owned()).await.expect("a whole answer")
 }
 
@@ -128,7 +128,7 @@
         let differs = actual.map_err(|failure| failure.cause().clone());
         assert_eq!(expected, differs.is_ok());
         if !expected {
-            assert_eq!(Err(FailureCause::AnswerDigestDiffers), differs);
+            assert_eq!(Err(FailureCause::AnswerDigestMismatch), differs);
         }
     }
 }
--- a/crates/exchange/tests/http2_cuts.rs
+++ b/crates/exchange/tests/http2_cuts.rs
@@ -9,7 +9,7 @@
 use poem::endpoint::make;
 use poem::{Request, Response};
 use shallotfork_exchange::{
-    AttemptFailure, Exchange, ServeConfig, ServeControl, TargetAddress, WholeAnswer, serve,
+    AttemptFailure, BufferedAnswer, Exchange, ServeConfig, ServeControl, TargetAddress, serve,
 };
 use shallotfork_types::{Endpoint, Verdict};
 use support::{RawTarget, RequestBuilder, exchange};
@@ -81,7 +81,7 @@
     }
 }
 
-async fn order(exchange: &Exchange, at: TargetAddress) -> Result<WholeAnswer, AttemptFailure> {
+async fn order(exchange: &Exchange, at: TargetAddress) -> Result<BufferedAnswer, AttemptFailure> {
     let order = RequestBuilder::new(Method::POST).with_body(ORDER);
     exchange.send(order.attempt(at.with_http2(true))).await
 }
--- a/crates/exchange/tests/links.rs
+++ b/crates/exchange/tests/links.rs
@@ -11,8 +11,8 @@
 use http::{HeaderValue, Method, Request, StatusCode};
 use http_body_util::Full;
 use shallotfork_exchange::{
-    AnswerOwner, AttemptFailure, BodyBudget, FailureCause, LinkConfig, LinkRequest, Purpose,
-    TargetLinks, WholeAnswer,
+    AnswerMatch, AttemptFailure, BodyBudget, BufferedAnswer, ConnectionConfig, ConnectionPurpose,
+    FailureCause, TargetConnections, TargetRequest,
 };
 use shallotfork_types::{Endpoint, TargetId, Verdict};
 use support::{BUDGET, RawTarget};
@@ -20,13 +20,13 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 const ROUNDS: usize = 300;
 
-fn links(config: LinkConfig) -> TargetLinks {
-    TargetLinks::new(config, BodyBudget::new(BUDGET))
+fn links(config: ConnectionConfig) -> TargetConnections {
+    TargetConnections::new(config, BodyBudget::new(BUDGET))
 }
 
 /// Sends a request with this mark; targets echo it as `answers`.
 struct Send<'a> {
-    links: &'a TargetLinks,
+    links: &'a TargetConnections,
     target: &'a RawTarget,
     repeatable: bool,
     timeout: Duration,
@@ -34,7 +34,7 @@
 }
 
 impl<'a> Send<'a> {
-    fn new(links: &'a TargetLinks, target: &'a RawTarget) -> Self {
+    fn new(links: &'a TargetConnections, target: &'a RawTarget) -> Self {
         Self { links, target, repeatable: true, timeout: TIMEOUT, body: b"" }
     }
 
@@ -53,7 +53,7 @@
         self
     }
 
-    async fn marked(self, mark: usize) -> Result<WholeAnswer, AttemptFailure> {
+    async fn marked(self, mark: usize) -> Result<BufferedAnswer, AttemptFailure> {
         let id = TargetId::new("mill").expect("name");
         let mut request = Request::new(Full::new(Bytes::from_static(self.body)));
         *request.method_mut() = Method::POST;
@@ -63,17 +63,17 @@
         let owner = move |_: StatusCode, headers: &HeaderMap| {
             let answers = headers.get("answers").and_then(|value| value.to_str().ok());
             let own = answers.is_none_or(|answers| answers == mark.to_string());
-            if own { AnswerOwner::Own } else { AnswerOwner::Foreign }
+            if own { AnswerMatch::Match } else { AnswerMatch::Mismatch }
         };
-        let asked = LinkRequest {
+        let asked = TargetRequest {
             target: &id,
             endpoint: Endpoint::new(self.target.address),
             request,
             timeout: self.timeout,
             repeatable: self.repeatable,
-            owner: &owner,
-            purpose: Purpose::Request,
-            opened: &|| {},
+            answer_match: &owner,
+            purpose: ConnectionPurpose::Request,
+            on_opened: &|| {},
         };
         self.links.send(asked).await
     }
@@ -99,7 +99,7 @@
         }
     })
     .await;
-    let links = links(LinkConfig::default());
+    let links = links(ConnectionConfig::default());
     for mark in 0..3 {
         let answer = Send::new(&links, &target).marked(mark).await.expect("an answer");
         assert_eq!(answer.body, "milled");
@@ -123,7 +123,7 @@
         wire.drain().await;
     })
     .await;
-    let links = links(LinkConfig::default());
+    let links = links(ConnectionConfig::default());
     Send::new(&links, &target).marked(1).await.expect("her predecessor's answer");
     settle().await;
     let result = Send::new(&links, &target).marked(2).await;
@@ -141,9 +141,9 @@
         wire.drain().await;
     })
     .await;
-    let links = links(LinkConfig::default());
+    let links = links(ConnectionConfig::default());
     let failure = Send::new(&links, &target).marked(8).await.expect_err("a foreign answer");
-    assert_eq!(*failure.cause(), FailureCause::AnswerForeign);
+    assert_eq!(*failure.cause(), FailureCause::AnswerMismatch);
     assert_eq!(failure.verdict(), Verdict::MayHaveRun);
     tokio::time::timeout(TIMEOUT, target.closed()).await.expect("the connection is closed");
 }
@@ -158,7 +158,7 @@
         }
     })
     .await;
-    let links = links(LinkConfig::default());
+    let links = links(ConnectionConfig::default());
     for mark in 0..ROUNDS {
         for _ in 0..mark % 7 {
             tokio::task::yield_now().await;
@@ -183,7 +183,10 @@
         }
     })
     .await;
-    let config = LinkConfig { idle_max_unrepeatable: Duration::ZERO, ..LinkConfig::default() };
+    let config = ConnectionConfig {
+        idle_timeout_unrepeatable: Duration::ZERO,
+        ..ConnectionConfig::default()
+    };
     let links = links(config);
     Send::new(&links, &target).marked(0).await.expect("an answer");
     settle().await;
@@ -204,7 +207,7 @@
             }
         })
         .await;
-        let links = links(LinkConfig::default());
+        let links = links(ConnectionConfig::default());
         for mark in 0..2 {
             Send::new(&links, &target).marked(mark).await.expect("an answer");
             settle().await;
@@ -222,7 +225,7 @@
         wire.drain().await;
     })
     .await;
-    let links = links(LinkConfig::default());
+    let links = links(ConnectionConfig::default());
     let send = Send::new(&links, &target).once().with_timeout(Duration::from_millis(50));
     let failure = send.marked(1).await.expect_err("no answer");
     assert_eq!(*failure.cause(), FailureCause::Timeout);
@@ -238,7 +241,7 @@
         wire.drain().await;
     })
     .await;
-    let links = links(LinkConfig::default());
+    let links = links(ConnectionConfig::default());
     let sending = Send::new(&links, &target).marked(1);
     let left = tokio::time::timeout(Duration::from_millis(50), sending).await;
     assert!(left.is_err());
@@ -259,7 +262,7 @@
             }
         })
         .await;
-        let links = links(LinkConfig::default());
+        let links = links(ConnectionConfig::default());
         let result = Send::new(&links, &target).marked(1).await;
         match result {
             Ok(answer) => assert!(!is_reset && answer.body == "half of it"),
@@ -290,7 +293,7 @@
         }
     })
     .await;
-    let links = links(LinkConfig::default());
+    let links = links(ConnectionConfig::default());
     for mark in 0..2 {
         let answer = Send::new(&links, &target).with_body(&DOSSIER).marked(mark).await;
         assert_eq!(answer.expect("an early answer").status, StatusCode::PAYLOAD_TOO_LARGE);
@@ -308,7 +311,7 @@
     let gone = RawTarget::start(|_, _| async {}).await;
     let mut gone = gone;
     gone.address = address;
-    let links = links(LinkConfig::default());
+    let links = links(ConnectionConfig::default());
     let failure = Send::new(&links, &gone).marked(1).await.expect_err("nobody listens");
     assert_eq!(failure.verdict(), Verdict::NotRun);
     assert_eq!(*failure.cause(), FailureCause::ConnectFailed);
@@ -317,7 +320,7 @@
 /// Guards against confusing a crashed target with one that has only reset a connection.
 #[tokio::test]
 async fn only_a_port_without_a_listener_refuses_connections() {
-    let links = links(LinkConfig::default());
+    let links = links(ConnectionConfig::default());
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let endpoint = Endpoint::new(listener.local_addr().expect("address"));
     assert!(!links.refuses_connections(endpoint).await);
--- a/crates/exchange/tests/pipelined.rs
+++ b/crates/exchange/tests/pipelined.rs
@@ -6,7 +6,7 @@
 
 use http::Method;
 use poem::endpoint::make;
-use shallotfork_exchange::{ServeConfig, ServeControl, serve_early};
+use shallotfork_exchange::{ServeConfig, ServeControl, serve_pipelined};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
@@ -54,7 +54,7 @@
         });
         let control = ServeControl::new();
         let config = ServeConfig::default();
-        tokio::spawn(serve_early(listener, endpoint, config, control.clone(), early));
+        tokio::spawn(serve_pipelined(listener, endpoint, config, control.clone(), early));
         Self { control, address, begun, ended, leave }
     }
 
--- a/crates/exchange/tests/support/front.rs
+++ b/crates/exchange/tests/support/front.rs
@@ -8,8 +8,8 @@
 
 use poem::{Endpoint, Request, Response};
 use shallotfork_exchange::{
-    BodyBudget, BodyLimits, Refusal, ServeConfig, ServeControl, ServeError, WholeRequest,
-    read_whole, serve,
+    BodyBudget, BodyLimits, BufferedRequest, Rejection, ServeConfig, ServeControl, ServeError,
+    read_request, serve,
 };
 use shallotfork_types::Bytes;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -60,7 +60,7 @@
 
     async fn call(&self, request: Request) -> poem::Result<Response> {
         let echo = &self.0;
-        let whole = match read_whole(request, &echo.limits, &echo.budget).await {
+        let whole = match read_request(request, &echo.limits, &echo.budget).await {
             Ok(whole) => whole,
             Err(refusal) => return Ok(refused(&refusal)),
         };
@@ -72,11 +72,11 @@
     }
 }
 
-fn refused(refusal: &Refusal) -> Response {
+fn refused(refusal: &Rejection) -> Response {
     refusal.problem().into_response()
 }
 
-fn describe(whole: &WholeRequest) -> String {
+fn describe(whole: &BufferedRequest) -> String {
     let mut headers: Vec<_> = whole
         .headers
         .iter()
--- a/crates/exchange/tests/support/mod.rs
+++ b/crates/exchange/tests/support/mod.rs
@@ -11,8 +11,8 @@
 use http::uri::PathAndQuery;
 use http::{HeaderMap, HeaderValue, Method};
 use shallotfork_exchange::{
-    Attempt, BodyBudget, ControlHeaders, Exchange, ExchangeConfig, NowFn, OpenGate, TargetAddress,
-    Unsent, WholeRequest,
+    Attempt, BodyBudget, BufferedRequest, ControlHeaders, Exchange, ExchangeConfig, NowFn,
+    TargetAddress, UnlimitedGate, Unsent,
 };
 use shallotfork_types::{Bytes, Endpoint, Mono};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -35,20 +35,20 @@
 }
 
 pub fn exchange_within(config: ExchangeConfig, now: NowFn, budget: BodyBudget) -> Exchange {
-    Exchange::new(config, budget, Arc::new(OpenGate), now).expect("client")
+    Exchange::new(config, budget, Arc::new(UnlimitedGate), now).expect("client")
 }
 
 /// Builds a request for the service `orders`.
 #[derive(Debug, Clone)]
 pub struct RequestBuilder {
-    request: WholeRequest,
+    request: BufferedRequest,
 }
 
 impl RequestBuilder {
     pub fn new(method: Method) -> Self {
         let mut headers = HeaderMap::new();
         headers.insert("host", HeaderValue::from_static("orders"));
-        let request = WholeRequest {
+        let request = BufferedRequest {
             method,
             path_and_query: PathAndQuery::from_static("/orders?mill=2"),
             service: "orders".parse().expect("name"),
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -7,7 +7,7 @@
 use arc_swap::ArcSwap;
 use shallotfork_balance::{PriorWaitEstimator, SlotPoolConfig};
 use shallotfork_events::slog::Logger;
-use shallotfork_exchange::{BodyBudget, ServeControl, TargetLinks};
+use shallotfork_exchange::{BodyBudget, ServeControl, TargetConnections};
 use shallotfork_lifecycle::Phase;
 use shallotfork_measure::{RateLimits, SchedulingDelay};
 use shallotfork_quarantine::{FingerprintKey, Quarantine};
@@ -50,7 +50,7 @@
     /// The callers' port.
     pub callers: ServeControl,
     /// Connections to targets.
-    pub links: TargetLinks,
+    pub links: TargetConnections,
     /// How questions to targets for their load ended.
     pub probe_counts: ProbeCounts,
     /// Bytes of bodies held.
--- a/crates/gateway/src/control/publish.rs
+++ b/crates/gateway/src/control/publish.rs
@@ -118,7 +118,7 @@
     log_evacuations(state, evacuated);
     for change in changed {
         let (RosterChange::Restarted(id) | RosterChange::Left(id)) = change else { continue };
-        context.links.forget(id);
+        context.links.close_idle(id);
         lock(&context.rate_limits).forget(id);
         if matches!(change, RosterChange::Restarted(_)) {
             context.services.all().iter().for_each(|(_, slots)| slots.restarted(id));
--- a/crates/gateway/src/control/thread.rs
+++ b/crates/gateway/src/control/thread.rs
@@ -147,7 +147,7 @@
             _ = tidy.tick() => {
                 expire_targets(&state);
                 note_settled(&state);
-                state.context.links.tidy();
+                state.context.links.prune_idle();
                 lock(&state.context.quarantine).expire(state.now());
                 expire_rate_limits(&state.context);
             }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -10,7 +10,8 @@
 use rand::RngExt;
 use shallotfork_events::{LogConfig, LogOutput, logger};
 use shallotfork_exchange::{
-    BodyBudget, LinkConfig, ServeConfig, ServeControl, TargetLinks, serve, serve_early,
+    BodyBudget, ConnectionConfig, ServeConfig, ServeControl, TargetConnections, serve,
+    serve_pipelined,
 };
 use shallotfork_lifecycle::{Process, Starting};
 use shallotfork_peer::PeerKey;
@@ -96,7 +97,7 @@
         published: ArcSwap::from_pointee(Published::default()),
         fleet: ArcSwap::from_pointee(Fleet::default()),
         callers: ServeControl::new(),
-        links: TargetLinks::new(LinkConfig::default(), bodies.clone()),
+        links: TargetConnections::new(ConnectionConfig::default(), bodies.clone()),
         probe_counts: ProbeCounts::default(),
         bodies,
         services: Services::default(),
@@ -171,7 +172,7 @@
     let shared = Arc::clone(&context);
     let early = Arc::new(move |head: &http::request::Parts| may_begin_early(&shared, head));
     let config = ServeConfig::default();
-    tokio::spawn(serve_early(listener, endpoint, config, callers, early));
+    tokio::spawn(serve_pipelined(listener, endpoint, config, callers, early));
     tokio::spawn(probes(Arc::clone(&context)));
     tokio::spawn(lateness(Arc::clone(&context)));
     tokio::spawn(service_load(Arc::clone(&context), TimerService::new(context.clock)));
--- a/crates/gateway/src/traffic/attempts.rs
+++ b/crates/gateway/src/traffic/attempts.rs
@@ -11,7 +11,9 @@
 use http_body_util::Full;
 use shallotfork_balance::{RetryAllowance, Shed, SlotOutcome};
 use shallotfork_events::{ATTEMPT_FAILED, event};
-use shallotfork_exchange::{AnswerOwner, AttemptFailure, LinkRequest, Purpose, WholeAnswer};
+use shallotfork_exchange::{
+    AnswerMatch, AttemptFailure, BufferedAnswer, ConnectionPurpose, TargetRequest,
+};
 use shallotfork_quarantine::SendKind;
 use shallotfork_types::{Endpoint, FailureDomain, Permille, TargetId, Verdict};
 
@@ -46,7 +48,7 @@
 #[derive(Debug)]
 pub enum Ended {
     /// A target's answer.
-    Answered(WholeAnswer),
+    Answered(BufferedAnswer),
     /// No slot came in time; nothing was sent.
     Refused(Shed),
     /// Nothing that was sent has run.
@@ -105,7 +107,7 @@
             Ok(assigned) => assigned,
             Err(shed) => return trial.end_refused(shed),
         };
-        if job.caller.has_left() {
+        if job.caller.is_closed() {
             return trial.end(Ended::CallerLeft);
         }
         // Checks again: other runs may have started or ended while the request waited.
@@ -178,7 +180,7 @@
     queued: Duration,
     may_have_run: bool,
     /// A target's own failure, to be passed on when nothing better comes.
-    error: Option<WholeAnswer>,
+    error: Option<BufferedAnswer>,
 }
 
 impl Trial {
@@ -262,7 +264,7 @@
         Either::Right(((), first)) => first,
     };
     let Some(second) = slots.spare(&job.ask(&trial.avoided)) else { return first.await };
-    if job.caller.has_left() || !is_clear(job) || !slots.try_repeat(repeat_allowance(&job.context))
+    if job.caller.is_closed() || !is_clear(job) || !slots.try_repeat(repeat_allowance(&job.context))
     {
         return first.await;
     }
@@ -298,15 +300,15 @@
     };
     let owner = |_status: StatusCode, headers: &HeaderMap| owner(context, &job.request_id, headers);
     let repeatable = job.is_repeatable();
-    let asked = LinkRequest {
+    let asked = TargetRequest {
         target: &target,
         endpoint,
         request,
         timeout,
         repeatable,
-        owner: &owner,
-        purpose: Purpose::Request,
-        opened: &|| {},
+        answer_match: &owner,
+        purpose: ConnectionPurpose::Request,
+        on_opened: &|| {},
     };
     let cold = assigned.sending();
     let sent_bytes = message_bytes(asked.request.headers(), job.request.body.len());
@@ -361,7 +363,7 @@
 fn report(
     job: &Job,
     target: &TargetId,
-    result: &Result<WholeAnswer, AttemptFailure>,
+    result: &Result<BufferedAnswer, AttemptFailure>,
     attempt: &AttemptReport,
 ) {
     let AttemptReport { outcome, latency, crashed } = attempt;
@@ -405,13 +407,13 @@
 ///
 /// An answer without any id is taken to be the own one only if it is a failure: a success must
 /// prove to whom it belongs.
-fn owner(context: &Context, request_id: &str, headers: &HeaderMap) -> AnswerOwner {
+fn owner(context: &Context, request_id: &str, headers: &HeaderMap) -> AnswerMatch {
     let echoed = headers.get(&context.dialect.headers.request_id);
     match echoed {
-        Some(id) if id.as_bytes() == request_id.as_bytes() => AnswerOwner::Own,
-        Some(_) => AnswerOwner::Foreign,
-        None if headers.contains_key(&context.dialect.headers.signature) => AnswerOwner::Foreign,
-        None => AnswerOwner::Own,
+        Some(id) if id.as_bytes() == request_id.as_bytes() => AnswerMatch::Match,
+        Some(_) => AnswerMatch::Mismatch,
+        None if headers.contains_key(&context.dialect.headers.signature) => AnswerMatch::Mismatch,
+        None => AnswerMatch::Match,
     }
 }
 
--- a/crates/gateway/src/traffic/front.rs
+++ b/crates/gateway/src/traffic/front.rs
@@ -9,7 +9,9 @@
 use shallotfork_events::{
     CALLER_LEFT, CALLER_REFUSED, REQUEST_ANSWERED, REQUEST_NOT_ANSWERED, event,
 };
-use shallotfork_exchange::{ArrivedAt, BodyLimits, CallerPresence, WholeRequest, read_whole};
+use shallotfork_exchange::{
+    ArrivedAt, BodyLimits, BufferedRequest, CallerConnection, read_request,
+};
 use shallotfork_routes::RepeatPolicy;
 use shallotfork_types::{Bytes, Mono, TargetId};
 
@@ -30,14 +32,14 @@
 /// Answers one request of a caller.
 pub async fn front(context: Arc<Context>, request: poem::Request) -> poem::Response {
     let arrived = arrived(&context, &request);
-    let Some(caller) = request.extensions().get::<CallerPresence>().cloned() else {
+    let Some(caller) = request.extensions().get::<CallerConnection>().cloned() else {
         return bad_request("the request came on no connection");
     };
     context.begins.notify_one();
     let body_max =
         context.published.load().table.as_ref().map_or(BODY_MAX, |table| table.limits().body_max);
     let limits = BodyLimits { body_max, body_timeout: BODY_TIMEOUT };
-    let request = match read_whole(request, &limits, &context.bodies).await {
+    let request = match read_request(request, &limits, &context.bodies).await {
         Ok(request) => request,
         Err(refusal) => {
             event!(context.log, CALLER_REFUSED, "reason" => refusal.to_string());
@@ -115,7 +117,7 @@
 }
 
 /// The route in force, and the version of the table that says so.
-fn route(context: &Context, request: &WholeRequest) -> Result<Routed, Unrouted> {
+fn route(context: &Context, request: &BufferedRequest) -> Result<Routed, Unrouted> {
     let published = context.published.load();
     let table = published.table.as_ref().ok_or(Unrouted::Starting)?;
     let host = request.service.as_str().to_ascii_lowercase();
--- a/crates/gateway/src/traffic/job.rs
+++ b/crates/gateway/src/traffic/job.rs
@@ -6,7 +6,7 @@
 use http::HeaderMap;
 use http::header::{AUTHORIZATION, COOKIE};
 use shallotfork_balance::{SlotRequest, WorkClass};
-use shallotfork_exchange::{CALLER_HEADER, CallerPresence, WholeRequest};
+use shallotfork_exchange::{BufferedRequest, CALLER_HEADER, CallerConnection};
 use shallotfork_quarantine::{RequestContent, RequestFingerprint};
 use shallotfork_routes::{RepeatPolicy, Route, TableVersion};
 use shallotfork_types::{Mono, ServiceName, TargetId};
@@ -33,7 +33,7 @@
     /// Shared parts of the process.
     pub context: Arc<Context>,
     /// The request, whole.
-    pub request: WholeRequest,
+    pub request: BufferedRequest,
     /// The caller's name for this attempt.
     pub request_id: String,
     /// Its route.
@@ -51,7 +51,7 @@
     /// How long the caller had waited before.
     pub waited: Duration,
     /// Whether its caller is still there.
-    pub caller: CallerPresence,
+    pub caller: CallerConnection,
     /// The fingerprint of its content, computed on first use.
     fingerprint: OnceLock<RequestFingerprint>,
 }
@@ -60,11 +60,11 @@
     /// Works out the times of a request.
     pub fn new(
         context: Arc<Context>,
-        request: WholeRequest,
+        request: BufferedRequest,
         request_id: String,
         routed: Routed,
         arrived: Mono,
-        caller: CallerPresence,
+        caller: CallerConnection,
     ) -> Self {
         let Routed { route, version } = routed;
         let patience = deadline_of(&context, &request.headers).unwrap_or(route.timeout);
--- a/crates/gateway/src/traffic/judge.rs
+++ b/crates/gateway/src/traffic/judge.rs
@@ -3,7 +3,7 @@
 use http::StatusCode;
 use http::header::CONTENT_ENCODING;
 use shallotfork_balance::{SlotOutcome, TargetLoad};
-use shallotfork_exchange::{AttemptFailure, FailureCause, WholeAnswer};
+use shallotfork_exchange::{AttemptFailure, BufferedAnswer, FailureCause};
 use shallotfork_types::Verdict;
 
 use crate::dialect::Dialect;
@@ -12,9 +12,9 @@
 #[derive(Debug)]
 pub enum AttemptEnd {
     /// An answer to pass on.
-    Answered(WholeAnswer),
+    Answered(BufferedAnswer),
     /// A server error of the target's own: the request ran and failed.
-    Errored(WholeAnswer),
+    Errored(BufferedAnswer),
     /// Nothing was sent: no connection could be opened.
     Unreached,
     /// The target said that it has not run the request and never will.
@@ -27,7 +27,10 @@
 ///
 /// Only a target's own word, by the platform's header or by 421, says that a request which was
 /// sent has not run. An unsigned success is not the target's whole answer.
-pub fn attempt_end(dialect: &Dialect, result: Result<WholeAnswer, AttemptFailure>) -> AttemptEnd {
+pub fn attempt_end(
+    dialect: &Dialect,
+    result: Result<BufferedAnswer, AttemptFailure>,
+) -> AttemptEnd {
     let answer = match result {
         Ok(answer) => answer,
         Err(failure) if failure.verdict() == Verdict::NotRun => return AttemptEnd::Unreached,
@@ -47,14 +50,14 @@
     AttemptEnd::Answered(answer)
 }
 
-fn says_not_run(dialect: &Dialect, answer: &WholeAnswer) -> bool {
+fn says_not_run(dialect: &Dialect, answer: &BufferedAnswer) -> bool {
     answer.headers.contains_key(&dialect.headers.not_run)
         || answer.status == StatusCode::MISDIRECTED_REQUEST
 }
 
 /// Whether the connection failed before the whole answer was read, as it does when the target
 /// crashes.
-pub fn target_may_have_crashed(result: &Result<WholeAnswer, AttemptFailure>) -> bool {
+pub fn target_may_have_crashed(result: &Result<BufferedAnswer, AttemptFailure>) -> bool {
     let cause = result.as_ref().err().map(AttemptFailure::cause);
     matches!(cause, Some(FailureCause::ConnectionLost | FailureCause::AnswerIncomplete))
 }
@@ -62,7 +65,7 @@
 /// What the attempt says about its target.
 pub fn slot_outcome(
     dialect: &Dialect,
-    result: &Result<WholeAnswer, AttemptFailure>,
+    result: &Result<BufferedAnswer, AttemptFailure>,
     latency: std::time::Duration,
 ) -> SlotOutcome {
     match result {
@@ -73,7 +76,7 @@
         Err(failure) => match failure.cause() {
             FailureCause::ConnectFailed => SlotOutcome::Unreachable,
             FailureCause::Timeout => SlotOutcome::TimedOut,
-            FailureCause::BudgetFull | FailureCause::TooLate | FailureCause::BadRequest => {
+            FailureCause::BudgetFull | FailureCause::DeadlinePassed | FailureCause::BadRequest => {
                 SlotOutcome::Cancelled
             }
             _ => SlotOutcome::Failed,
@@ -82,7 +85,7 @@
 }
 
 /// The load that a target reported with its answer; one that can't be read counts as none.
-pub fn figures(dialect: &Dialect, answer: &WholeAnswer) -> Option<TargetLoad> {
+pub fn figures(dialect: &Dialect, answer: &BufferedAnswer) -> Option<TargetLoad> {
     let text = answer.headers.get(&dialect.headers.load)?.to_str().ok()?;
     (dialect.load_figures)(text)
 }
--- a/crates/gateway/src/traffic/probes.rs
+++ b/crates/gateway/src/traffic/probes.rs
@@ -9,7 +9,7 @@
 use http_body_util::Full;
 use metrics::counter;
 use shallotfork_events::{WARMUP_INVALID, event};
-use shallotfork_exchange::{AnswerOwner, LinkRequest, Purpose};
+use shallotfork_exchange::{AnswerMatch, ConnectionPurpose, TargetRequest};
 use shallotfork_types::{Endpoint, FailureDomain, ServiceName, TargetId};
 
 use crate::carried::{Carried, message_bytes};
@@ -120,15 +120,15 @@
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = uri;
     Carried::Questions.count(&domain, message_bytes(request.headers(), 0));
-    let asked = LinkRequest {
+    let asked = TargetRequest {
         target,
         endpoint,
         request,
         timeout: TIMEOUT,
         repeatable: true,
-        owner: &|_: StatusCode, _: &HeaderMap| AnswerOwner::Own,
-        purpose: Purpose::Probe,
-        opened: &|| is_accepted.store(true, Ordering::Relaxed),
+        answer_match: &|_: StatusCode, _: &HeaderMap| AnswerMatch::Match,
+        purpose: ConnectionPurpose::Probe,
+        on_opened: &|| is_accepted.store(true, Ordering::Relaxed),
     };
     counter!("shallotfork_probes").increment(1);
     context.probe_counts.asked();
--- a/crates/gateway/src/traffic/rate_limit.rs
+++ b/crates/gateway/src/traffic/rate_limit.rs
@@ -2,7 +2,7 @@
 
 use http::HeaderMap;
 use shallotfork_events::{RATE_LIMIT_INVALID, TARGET_RATE_LIMIT, event};
-use shallotfork_exchange::WholeAnswer;
+use shallotfork_exchange::BufferedAnswer;
 use shallotfork_types::{RequestRate, TargetId};
 
 use crate::context::{Context, lock};
@@ -17,7 +17,7 @@
 }
 
 /// Records the rate limit that an answer advertises and applies it if it has changed.
-pub fn note_rate_limit(context: &Context, target: &TargetId, answer: &WholeAnswer) {
+pub fn note_rate_limit(context: &Context, target: &TargetId, answer: &BufferedAnswer) {
     let limit = match advertised_limit(context, target, answer) {
         AdvertisedLimit::Limit(limit) => Some(limit),
         AdvertisedLimit::NoLimit => None,
@@ -50,7 +50,11 @@
 
 /// Reads the rate limit from an answer. A failure without the header does not remove the limit,
 /// because it may come from an intermediary in front of the target.
-fn advertised_limit(context: &Context, target: &TargetId, answer: &WholeAnswer) -> AdvertisedLimit {
+fn advertised_limit(
+    context: &Context,
+    target: &TargetId,
+    answer: &BufferedAnswer,
+) -> AdvertisedLimit {
     let Some(text) = rate_limit_header(context, &answer.headers) else {
         let is_success = answer.status.is_success();
         return if is_success { AdvertisedLimit::NoLimit } else { AdvertisedLimit::Unknown };
--- a/crates/gateway/src/traffic/service_load.rs
+++ b/crates/gateway/src/traffic/service_load.rs
@@ -7,7 +7,7 @@
 use metrics::gauge;
 use shallotfork_balance::SlotSummary;
 use shallotfork_events::{BEHIND, EVACUATION_RUNNING, SERVICE_LOAD, TARGET_CONNECTIONS, event};
-use shallotfork_exchange::Openings;
+use shallotfork_exchange::OpenedConnections;
 use shallotfork_timer::{Schedule, TimerService};
 use shallotfork_types::ServiceName;
 
@@ -49,14 +49,16 @@
 /// Connections and questions to targets since the process began.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct TargetCounts {
-    openings: Openings,
+    openings: OpenedConnections,
     probes: Probes,
 }
 
 /// Reports what was added since `before`; returns the counts of now.
 fn report_connections(context: &Context, before: TargetCounts) -> TargetCounts {
-    let now =
-        TargetCounts { openings: context.links.openings(), probes: context.probe_counts.read() };
+    let now = TargetCounts {
+        openings: context.links.opened_connections(),
+        probes: context.probe_counts.read(),
+    };
     if now != before {
         event!(context.log, TARGET_CONNECTIONS,
             "for_requests" => now.openings.requests - before.openings.requests,
--- a/crates/shallotd/src/control/probes.rs
+++ b/crates/shallotd/src/control/probes.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http::{HeaderMap, Method};
 use shallotfork_exchange::{
-    Attempt, AttemptFailure, ControlHeaders, TargetAddress, WholeAnswer, WholeRequest,
+    Attempt, AttemptFailure, BufferedAnswer, BufferedRequest, ControlHeaders, TargetAddress,
 };
 use shallotfork_measure::{
     FleetShare, MeasuredTarget, ProbeBudget, ProbeOutcome, ProbePermit, ProbeScheduler,
@@ -103,7 +103,7 @@
     }
 }
 
-fn finish(state: &State, permit: ProbePermit, result: &Result<WholeAnswer, AttemptFailure>) {
+fn finish(state: &State, permit: ProbePermit, result: &Result<BufferedAnswer, AttemptFailure>) {
     let end = match result {
         Ok(_) => ProbeOutcome::Settled,
         Err(failure) if failure.verdict() == Verdict::NotRun => ProbeOutcome::Settled,
@@ -116,7 +116,7 @@
     context: &Context,
     target: &TargetInfo,
 ) -> Option<Attempt<shallotfork_exchange::Unsent>> {
-    let request = WholeRequest {
+    let request = BufferedRequest {
         method: Method::GET,
         path_and_query: context.settings.measure.probe_path.as_str().parse().ok()?,
         service: target.service.clone(),
--- a/crates/shallotd/src/traffic/dispatch.rs
+++ b/crates/shallotd/src/traffic/dispatch.rs
@@ -10,7 +10,7 @@
 use poem::Response;
 use shallotfork_balance::{AttemptOutcome, PoolRequest, Priority, Shed, ShedReason};
 use shallotfork_exchange::{
-    Attempt, AttemptFailure, FailureCause, Problem, TargetAddress, WholeAnswer, WholeRequest,
+    Attempt, AttemptFailure, BufferedAnswer, BufferedRequest, FailureCause, Problem, TargetAddress,
 };
 use shallotfork_measure::LoadReport;
 use shallotfork_platform::TargetInfo;
@@ -30,7 +30,7 @@
 struct Job {
     context: Arc<Context>,
     service: Arc<Service>,
-    request: Arc<WholeRequest>,
+    request: Arc<BufferedRequest>,
     outcome: Outcome,
     deadline: Mono,
     /// Whether a second run does no harm.
@@ -38,7 +38,7 @@
 }
 
 /// Takes a whole request to a target and gives the whole answer, or says why there is none.
-pub async fn dispatch(context: &Arc<Context>, request: WholeRequest) -> Response {
+pub async fn dispatch(context: &Arc<Context>, request: BufferedRequest) -> Response {
     let arrived = context.clock.now();
     let snapshot = context.snapshot();
     let operation = match operation(&request) {
@@ -69,7 +69,7 @@
 fn plan(
     context: &Arc<Context>,
     snapshot: &Snapshot,
-    request: WholeRequest,
+    request: BufferedRequest,
     arrived: Mono,
     keyed: bool,
 ) -> Result<Job, Problem> {
@@ -101,7 +101,7 @@
     Problem::new(status, Verdict::NotRun).with_detail(detail)
 }
 
-fn decide(service: &Service, request: &WholeRequest) -> Result<Outcome, Problem> {
+fn decide(service: &Service, request: &BufferedRequest) -> Result<Outcome, Problem> {
     let Some(rules) = &service.rules else {
         return Err(not_run(StatusCode::SERVICE_UNAVAILABLE, "no rule list is in force yet"));
     };
@@ -116,7 +116,7 @@
 }
 
 /// The caller's own deadline, else the rule's, else the settings'; never above the settings' most.
-fn allowed_time(context: &Context, request: &WholeRequest, outcome: &Outcome) -> Duration {
+fn allowed_time(context: &Context, request: &BufferedRequest, outcome: &Outcome) -> Duration {
     let callers = &context.settings.callers;
     let asked = request.control.deadline.or(outcome.deadline).unwrap_or(callers.deadline_default);
     asked.min(callers.deadline_max)
@@ -179,7 +179,7 @@
     job: &Job,
     assigned: Assigned,
     tried: &mut BTreeSet<TargetId>,
-) -> Result<WholeAnswer, Unserved> {
+) -> Result<BufferedAnswer, Unserved> {
     let name = assigned.attempt();
     let first = pin!(attempt(job, assigned));
     let Some(delay) = hedge_delay(job) else { return first.await };
@@ -207,7 +207,7 @@
     allowed.then(|| job.service.pool.hedge_delay()).flatten()
 }
 
-async fn attempt(job: &Job, assigned: Assigned) -> Result<WholeAnswer, Unserved> {
+async fn attempt(job: &Job, assigned: Assigned) -> Result<BufferedAnswer, Unserved> {
     let Some(target) = job.service.targets.by_id.get(assigned.target()) else {
         // The list changed between choice and sending: the target is gone from this snapshot.
         let gone = TargetAddress::new(job.context.identity.callers);
@@ -232,13 +232,13 @@
 }
 
 /// The load report that a target sent with its answer; one that can't be read counts as none.
-pub fn load_report(answer: &WholeAnswer) -> Option<LoadReport> {
+pub fn load_report(answer: &BufferedAnswer) -> Option<LoadReport> {
     let text = answer.headers.get(LOAD_REPORT_HEADER)?.to_str().ok()?;
     LoadReport::from_header(text).ok()
 }
 
 fn attempt_outcome(
-    result: &Result<WholeAnswer, AttemptFailure>,
+    result: &Result<BufferedAnswer, AttemptFailure>,
     latency: Duration,
 ) -> AttemptOutcome {
     match result {
@@ -247,7 +247,7 @@
         Err(failure) => match failure.cause() {
             FailureCause::Shed { .. } | FailureCause::StreamRefused => AttemptOutcome::Shed,
             FailureCause::Timeout => AttemptOutcome::TimedOut,
-            FailureCause::TooLate
+            FailureCause::DeadlinePassed
             | FailureCause::BadRequest
             | FailureCause::ConnectRefusedByGate
             | FailureCause::BudgetFull => AttemptOutcome::Cancelled,
--- a/crates/shallotd/src/traffic/front.rs
+++ b/crates/shallotd/src/traffic/front.rs
@@ -7,7 +7,7 @@
 use http::Version;
 use http::header::{CONNECTION, HOST, HeaderValue};
 use poem::{Request, Response};
-use shallotfork_exchange::{BodyLimits, read_whole};
+use shallotfork_exchange::{BodyLimits, read_request};
 
 use crate::context::Context;
 use crate::traffic::counted::counted;
@@ -34,7 +34,7 @@
     let limits = body_limits(context);
     let version = request.version();
     let operation = named_operation(request.headers());
-    match read_whole(request, &limits, &context.bodies).await {
+    match read_request(request, &limits, &context.bodies).await {
         Ok(whole) => dispatch(context, whole).await,
         Err(refusal) => {
             with_close(refuse(context, operation, refusal.problem()).await.into_response(), version)
--- a/crates/shallotd/src/traffic/operation.rs
+++ b/crates/shallotd/src/traffic/operation.rs
@@ -9,7 +9,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode};
 use poem::Response;
 use shallotfork_exchange::{
-    KEY_HEADER, Problem, SESSION_HEADER, VERDICT_HEADER, WholeAnswer, WholeRequest,
+    BufferedAnswer, BufferedRequest, KEY_HEADER, Problem, SESSION_HEADER, VERDICT_HEADER,
 };
 use shallotfork_once::{
     ClaimAnswer, ClaimId, Completion, HeaderField, KeptAnswer, OperationId, Session,
@@ -23,13 +23,13 @@
 use crate::traffic::dispatch::respond;
 
 /// The end of an execution: a whole answer, or the problem to report.
-pub type Executed = Result<WholeAnswer, Problem>;
+pub type Executed = Result<BufferedAnswer, Problem>;
 
 /// The operation that a request names.
 ///
 /// # Errors
 /// When there is a session without a key, a key without a session, or the session is no session.
-pub fn operation(request: &WholeRequest) -> Result<Option<OperationId>, Problem> {
+pub fn operation(request: &BufferedRequest) -> Result<Option<OperationId>, Problem> {
     let control = &request.control;
     match (&control.session, &control.key) {
         (None, None) => Ok(None),
@@ -154,7 +154,7 @@
     }
 }
 
-fn kept(answer: &WholeAnswer) -> KeptAnswer {
+fn kept(answer: &BufferedAnswer) -> KeptAnswer {
     let field = |(name, value): (&HeaderName, &HeaderValue)| HeaderField {
         name: name.to_string(),
         value: value.as_bytes().to_vec(),
@@ -166,7 +166,7 @@
     }
 }
 
-fn whole(kept: &KeptAnswer) -> WholeAnswer {
+fn whole(kept: &KeptAnswer) -> BufferedAnswer {
     let mut headers = HeaderMap::new();
     for field in &kept.headers {
         let name = HeaderName::from_bytes(field.name.as_bytes());
@@ -175,7 +175,7 @@
             headers.append(name, value);
         }
     }
-    WholeAnswer {
+    BufferedAnswer {
         status: StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK),
         headers,
         body: Bytes::copy_from_slice(&kept.body),
--- a/crates/shallotd/src/traffic/unserved.rs
+++ b/crates/shallotd/src/traffic/unserved.rs
@@ -1,7 +1,7 @@
 //! Why an attempt did not give the caller what was asked for.
 
 use http::StatusCode;
-use shallotfork_exchange::{AttemptFailure, FailureCause, Problem, WholeAnswer};
+use shallotfork_exchange::{AttemptFailure, BufferedAnswer, FailureCause, Problem};
 use shallotfork_types::Verdict;
 
 use crate::traffic::operation::Executed;
@@ -12,7 +12,7 @@
     /// There is no whole answer.
     Failed(AttemptFailure),
     /// The target answered that it is in trouble itself.
-    Error(WholeAnswer),
+    Error(BufferedAnswer),
 }
 
 impl Unserved {
@@ -27,7 +27,7 @@
     /// Whether another attempt could end better.
     pub fn may_pass(&self) -> bool {
         let Self::Failed(failure) = self else { return true };
-        !matches!(failure.cause(), FailureCause::BadRequest | FailureCause::TooLate)
+        !matches!(failure.cause(), FailureCause::BadRequest | FailureCause::DeadlinePassed)
     }
 
     /// What the caller is told when no further attempt is made.
@@ -43,7 +43,7 @@
 ///
 /// A target whose own dependency is broken answers errors at once while its neighbours are well.
 /// Until it is left out, every request that comes to it would fail at the caller.
-pub fn is_trouble(answer: &WholeAnswer) -> bool {
+pub fn is_trouble(answer: &BufferedAnswer) -> bool {
     matches!(
         answer.status,
         StatusCode::INTERNAL_SERVER_ERROR
