--- a/crates/exchange/src/activity.rs
+++ b/crates/exchange/src/activity.rs
@@ -1,4 +1,4 @@
-//! Knows since when a caller's connection has done nothing of use.
+//! Idle detection for the connections of callers.
 
 use std::io;
 use std::pin::Pin;
@@ -10,61 +10,63 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::Instant;
 
-/// Requests in progress on a connection, and when it last got further.
+/// Tracks the requests in progress on a connection and the time of its last progress.
 ///
-/// Bytes that arrive don't count: a sender that drips one byte after another would never be idle.
+/// Received bytes don't count as progress: otherwise a caller that sends a byte at a time would
+/// never be idle.
 #[derive(Debug)]
 pub(crate) struct Activity {
-    opened: Instant,
-    begun: AtomicBool,
-    busy: AtomicUsize,
-    progress_ms: AtomicU64,
+    opened_at: Instant,
+    has_started: AtomicBool,
+    in_progress: AtomicUsize,
+    last_progress_ms: AtomicU64,
 }
 
 impl Activity {
     pub(crate) fn new() -> Self {
         Self {
-            opened: Instant::now(),
-            begun: AtomicBool::new(false),
-            busy: AtomicUsize::new(0),
-            progress_ms: AtomicU64::new(0),
+            opened_at: Instant::now(),
+            has_started: AtomicBool::new(false),
+            in_progress: AtomicUsize::new(0),
+            last_progress_ms: AtomicU64::new(0),
         }
     }
 
-    /// A request is in progress until the returned value is dropped.
-    pub(crate) fn begin(self: &Arc<Self>) -> Busy {
-        self.begun.store(true, Ordering::Relaxed);
-        self.busy.fetch_add(1, Ordering::Relaxed);
-        Busy { activity: Arc::clone(self) }
+    /// Records the start of a request, which is in progress until the returned guard is dropped.
+    pub(crate) fn start_request(self: &Arc<Self>) -> RequestGuard {
+        self.has_started.store(true, Ordering::Relaxed);
+        self.in_progress.fetch_add(1, Ordering::Relaxed);
+        RequestGuard { activity: Arc::clone(self) }
     }
 
-    /// Whether a request is in progress.
+    /// Returns whether a request is in progress.
     pub(crate) fn is_busy(&self) -> bool {
-        self.busy.load(Ordering::Relaxed) > 0
+        self.in_progress.load(Ordering::Relaxed) > 0
     }
 
-    fn progress(&self) {
-        let since_ms = u64::try_from(self.opened.elapsed().as_millis()).unwrap_or(u64::MAX);
-        self.progress_ms.store(since_ms, Ordering::Relaxed);
+    fn record_progress(&self) {
+        let elapsed_ms = u64::try_from(self.opened_at.elapsed().as_millis()).unwrap_or(u64::MAX);
+        self.last_progress_ms.store(elapsed_ms, Ordering::Relaxed);
     }
 
-    /// Ends when no request has begun within `first`, or later when nothing was in progress and
-    /// nothing was written for `timeout`.
+    /// Waits until no request has started within `first_request_timeout`, or until no request was
+    /// in progress and nothing was written for `timeout`.
     ///
-    /// A connection that never sent a request is closed sooner: anyone can open many of them at
-    /// no cost, and each takes a slot from a caller.
-    pub(crate) async fn idle_for(&self, first: Duration, timeout: Duration) {
-        tokio::time::sleep_until(self.opened + first).await;
-        if !self.begun.load(Ordering::Relaxed) {
+    /// A connection without any request has a timeout of its own, because opening many connections
+    /// costs a client nothing and each one counts towards the connection limit.
+    pub(crate) async fn wait_until_idle(&self, first_request_timeout: Duration, timeout: Duration) {
+        tokio::time::sleep_until(self.opened_at + first_request_timeout).await;
+        if !self.has_started.load(Ordering::Relaxed) {
             return;
         }
         loop {
-            if self.busy.load(Ordering::Relaxed) > 0 {
+            if self.in_progress.load(Ordering::Relaxed) > 0 {
                 tokio::time::sleep(timeout).await;
                 continue;
             }
-            let progress = Duration::from_millis(self.progress_ms.load(Ordering::Relaxed));
-            let idle_at = self.opened + progress + timeout;
+            let last_progress =
+                Duration::from_millis(self.last_progress_ms.load(Ordering::Relaxed));
+            let idle_at = self.opened_at + last_progress + timeout;
             if Instant::now() >= idle_at {
                 return;
             }
@@ -73,20 +75,20 @@
     }
 }
 
-/// One request in progress.
+/// Marks a request as in progress until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Busy {
+pub(crate) struct RequestGuard {
     activity: Arc<Activity>,
 }
 
-impl Drop for Busy {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.activity.progress();
-        self.activity.busy.fetch_sub(1, Ordering::Relaxed);
+        self.activity.record_progress();
+        self.activity.in_progress.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// A stream whose writes count as progress.
+/// A stream that records each successful write as progress of its connection.
 #[derive(Debug)]
 pub(crate) struct TrackedStream<T> {
     inner: T,
@@ -98,9 +100,9 @@
         Self { inner, activity }
     }
 
-    fn wrote(&self, written: &Poll<io::Result<usize>>) {
+    fn record_write(&self, written: &Poll<io::Result<usize>>) {
         if matches!(written, Poll::Ready(Ok(size)) if *size > 0) {
-            self.activity.progress();
+            self.activity.record_progress();
         }
     }
 }
@@ -122,7 +124,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.inner).poll_write(cx, buf);
-        self.wrote(&written);
+        self.record_write(&written);
         written
     }
 
@@ -140,7 +142,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.inner).poll_write_vectored(cx, bufs);
-        self.wrote(&written);
+        self.record_write(&written);
         written
     }
 
--- a/crates/exchange/src/answer.rs
+++ b/crates/exchange/src/answer.rs
@@ -1,4 +1,4 @@
-//! A target's answer, held whole.
+//! Complete answers of targets.
 
 use bytes::Bytes;
 use http::header::{CONTENT_LENGTH, HeaderValue};
@@ -6,26 +6,26 @@
 
 use crate::headers::REPLAYED_HEADER;
 
-/// An answer that arrived completely and matches its digest where one was given.
+/// An answer that was received completely and matches its `Content-Digest`, if it has one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BufferedAnswer {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// All headers but the hop-by-hop ones.
+    /// All headers except hop-by-hop headers.
     pub headers: HeaderMap,
-    /// The body, decoded from its chunks.
+    /// The body, without the chunked transfer encoding.
     pub body: Bytes,
 }
 
 impl BufferedAnswer {
-    /// The answer for the caller that asked with `method`.
+    /// Converts the answer into the response to a request with `method`.
     ///
-    /// `Content-Length` is set anew from the body, except where it describes a body that is not
-    /// sent: answers to `HEAD`, and 304.
+    /// `Content-Length` is recomputed from the body, except for answers to `HEAD` and for 304,
+    /// where it describes a body that is not sent.
     pub fn into_response(self, method: &Method) -> poem::Response {
         let Self { status, mut headers, body } = self;
-        let describes_absent = method == Method::HEAD || status == StatusCode::NOT_MODIFIED;
-        if !describes_absent {
+        let has_absent_body = method == Method::HEAD || status == StatusCode::NOT_MODIFIED;
+        if !has_absent_body {
             headers.remove(CONTENT_LENGTH);
         }
         let mut response = poem::Response::from(poem_body(body));
@@ -34,7 +34,7 @@
         response
     }
 
-    /// The answer for a caller that repeats an operation which ran before.
+    /// Converts the answer into the response to a repeated operation that has already run.
     pub fn into_replayed_response(self, method: &Method) -> poem::Response {
         let mut response = self.into_response(method);
         response.headers_mut().insert(REPLAYED_HEADER, HeaderValue::from_static("true"));
--- a/crates/exchange/src/attempt.rs
+++ b/crates/exchange/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One try to have a target serve a request, and what is known when it fails.
+//! One attempt to have a target serve a request, and the outcome of a failed attempt.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,31 +9,31 @@
 
 use crate::read_request::BufferedRequest;
 
-/// Where and how a target is reached.
+/// The address and protocol of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TargetAddress {
-    /// Its IP address and port.
+    /// The IP address and port of the target.
     pub endpoint: Endpoint,
-    /// Whether it speaks HTTP/2 without being asked first.
+    /// Whether the target accepts HTTP/2 with prior knowledge.
     pub http2: bool,
-    /// The status by which it says that it did not start a request, as published.
+    /// The published status with which the target rejects a request that it did not start.
     pub shed_status: Option<StatusCode>,
 }
 
 impl TargetAddress {
-    /// An HTTP/1.1 target without a shed status.
+    /// Creates the address of an HTTP/1.1 target without a shed status.
     pub fn new(endpoint: Endpoint) -> Self {
         Self { endpoint, http2: false, shed_status: None }
     }
 
-    /// Speaks HTTP/2 from the first byte.
+    /// Sets whether the target accepts HTTP/2 with prior knowledge.
     #[must_use]
     pub fn with_http2(mut self, http2: bool) -> Self {
         self.http2 = http2;
         self
     }
 
-    /// Answers with `status` to requests that it did not start.
+    /// Sets the status with which the target rejects requests that it did not start.
     #[must_use]
     pub fn with_shed_status(mut self, status: Option<StatusCode>) -> Self {
         self.shed_status = status;
@@ -41,15 +41,15 @@
     }
 }
 
-/// State of an attempt of which no byte has left.
+/// State of an attempt of which no byte has been sent.
 #[derive(Debug)]
 pub struct Unsent;
 
-/// State of an attempt of which a byte may have left.
+/// State of an attempt of which bytes may have been sent.
 #[derive(Debug)]
 pub struct Sent;
 
-/// One try, at one target, of one request; it is never sent twice.
+/// One sending of a request to a target; an attempt is never sent twice.
 #[derive(Debug)]
 pub struct Attempt<S> {
     target: TargetAddress,
@@ -59,23 +59,23 @@
 }
 
 impl Attempt<Unsent> {
-    /// An attempt that gives up at `deadline`.
+    /// Creates an attempt that fails at `deadline`.
     pub fn new(target: TargetAddress, request: Arc<BufferedRequest>, deadline: Mono) -> Self {
         Self { target, request, deadline, state: Unsent }
     }
 
-    /// Time left at `now`; zero when the deadline has passed.
+    /// Returns the time left at `now`; zero when the deadline has passed.
     pub fn remaining(&self, now: Mono) -> Duration {
         self.deadline.since(now)
     }
 
-    /// Ends the attempt. Nothing has left, so that the request has not run.
+    /// Ends the attempt; the request has not run, because no byte of it has been sent.
     pub fn not_run(self, cause: FailureCause) -> AttemptFailure {
         let Self { state: Unsent, .. } = self;
         AttemptFailure::new(Verdict::NotRun, cause)
     }
 
-    /// From here on the request may run.
+    /// Marks the attempt as sent: the request may run from now on.
     pub fn into_sent(self) -> Attempt<Sent> {
         Attempt { target: self.target, request: self.request, deadline: self.deadline, state: Sent }
     }
@@ -88,7 +88,7 @@
         AttemptFailure::new(Verdict::MayHaveRun, cause)
     }
 
-    /// Ends the attempt on a target's own word that it did not start the request.
+    /// Ends the attempt after the target has reported that it did not start the request.
     pub(crate) fn not_run(self, evidence: NotRunEvidence) -> AttemptFailure {
         let Self { state: Sent, .. } = self;
         AttemptFailure::new(Verdict::NotRun, evidence.cause())
@@ -96,23 +96,23 @@
 }
 
 impl<S> Attempt<S> {
-    /// The target.
+    /// Returns the target's address.
     pub fn target(&self) -> TargetAddress {
         self.target
     }
 
-    /// The request.
+    /// Returns the request.
     pub fn request(&self) -> &Arc<BufferedRequest> {
         &self.request
     }
 
-    /// When the attempt gives up.
+    /// Returns the time at which the attempt fails.
     pub fn deadline(&self) -> Mono {
         self.deadline
     }
 }
 
-/// How a target says that it did not start a request which was sent to it.
+/// A target's report that it did not start a request which was sent to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NotRunEvidence {
     /// HTTP/2 `REFUSED_STREAM`, or `GOAWAY` with a last stream below this one (RFC 9113, 8.7).
@@ -130,39 +130,40 @@
     }
 }
 
-/// What went wrong.
+/// Why an attempt failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FailureCause {
-    /// The deadline passed before the first byte left.
+    /// The deadline passed before the first byte was sent.
     DeadlinePassed,
-    /// No connection could be opened, or none within the time for it.
+    /// No connection could be opened within the connect timeout.
     ConnectFailed,
     /// The [`ConnectionGate`](crate::ConnectionGate) refused a new connection.
     ConnectRefusedByGate,
-    /// The request can't be written, for instance because its target is no path.
+    /// The request can't be written, for example because its request target is not a path.
     BadRequest,
     /// The target shed the request.
     Shed {
-        /// When the target says to come back.
+        /// The delay after which the target accepts a retry, if it reported one.
         retry_after: Option<Duration>,
     },
     /// The target refused the HTTP/2 stream.
     StreamRefused,
-    /// No whole answer came before the deadline.
+    /// No complete answer was received before the deadline.
     Timeout,
-    /// The connection ended, or broke the protocol, before the answer's headers were whole.
+    /// The connection ended, or violated the protocol, before the answer's headers were complete.
     ConnectionLost,
-    /// The connection ended inside the answer's body, or the body's framing is broken.
+    /// The connection ended within the answer's body, or the body's framing is invalid.
     AnswerIncomplete,
-    /// The answer's body is over the limit.
+    /// The answer's body exceeds the limit.
     AnswerTooLarge,
-    /// All memory for bodies is in use.
+    /// The process's memory budget for bodies is exhausted.
     BudgetFull,
-    /// The answer's body is not the one its `Content-Digest` was made from.
+    /// The answer's body does not match its `Content-Digest`.
     AnswerDigestMismatch,
-    /// The answer is not a final one, for instance a switch of protocols.
+    /// The answer is not a final response, for example a protocol switch.
     AnswerNotFinal,
-    /// The answer belongs to another request; the target sent more answers than it was asked for.
+    /// The answer belongs to another request: the target sent more answers than it received
+    /// requests.
     AnswerMismatch,
 }
 
@@ -187,7 +188,7 @@
     }
 }
 
-/// The end of an attempt without an answer to pass on.
+/// The failure of an attempt: there is no answer to forward.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{cause}: {verdict}")]
 pub struct AttemptFailure {
@@ -200,17 +201,17 @@
         Self { verdict, cause }
     }
 
-    /// Whether the request may have run.
+    /// Returns whether the request may have run.
     pub fn verdict(&self) -> Verdict {
         self.verdict
     }
 
-    /// What went wrong.
+    /// Returns why the attempt failed.
     pub fn cause(&self) -> &FailureCause {
         &self.cause
     }
 
-    /// The status for a caller, when no further attempt is made.
+    /// Returns the status for the caller when no further attempt is made.
     pub fn status(&self) -> StatusCode {
         match self.cause {
             FailureCause::DeadlinePassed | FailureCause::Timeout => StatusCode::GATEWAY_TIMEOUT,
--- a/crates/exchange/src/body_budget.rs
+++ b/crates/exchange/src/body_budget.rs
@@ -1,4 +1,4 @@
-//! The process's limit on bytes of bodies held at one time.
+//! The process-wide memory budget for request and answer bodies.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,14 +6,14 @@
 use shallotfork_types::Bytes;
 use tokio::sync::Semaphore;
 
-/// Refused bodies that are read to their end at the same time; each takes a buffer of its
-/// connection, which no budget counts.
+/// Number of rejected bodies that are discarded at the same time; each uses a read buffer of its
+/// connection, which the budget does not include.
 const DISCARDS_MAX: usize = 4;
 
-/// Counts the bytes of all bodies held by the process and refuses more than its limit.
+/// Counts the bytes of all bodies held by the process and rejects those beyond its limit.
 ///
-/// Many callers that send large bodies at once would otherwise use up the VM's memory, and the
-/// process would be killed with every request in flight.
+/// Without the limit, many callers that send large bodies at once could exhaust the VM's memory;
+/// the process would be killed together with every request in flight.
 #[derive(Debug, Clone)]
 pub struct BodyBudget {
     shared: Arc<Shared>,
@@ -23,37 +23,37 @@
 struct Shared {
     limit_bytes: u64,
     held_bytes: AtomicU64,
-    discards: Arc<Semaphore>,
+    discard_permits: Arc<Semaphore>,
 }
 
 impl BodyBudget {
-    /// A budget of `limit` bytes, none of them held.
+    /// Creates an unused budget of `limit` bytes.
     pub fn new(limit: Bytes) -> Self {
         let shared = Shared {
             limit_bytes: limit.value(),
             held_bytes: AtomicU64::new(0),
-            discards: Arc::new(Semaphore::new(DISCARDS_MAX)),
+            discard_permits: Arc::new(Semaphore::new(DISCARDS_MAX)),
         };
         Self { shared: Arc::new(shared) }
     }
 
-    /// Bytes held now.
+    /// Returns the number of bytes held now.
     pub fn held(&self) -> Bytes {
         Bytes::new(self.shared.held_bytes.load(Ordering::Relaxed))
     }
 
-    /// Turns to read a refused body to its end.
-    pub(crate) fn discards(&self) -> Arc<Semaphore> {
-        Arc::clone(&self.shared.discards)
+    /// Returns the semaphore that limits how many rejected bodies are discarded at the same time.
+    pub(crate) fn discard_permits(&self) -> Arc<Semaphore> {
+        Arc::clone(&self.shared.discard_permits)
     }
 
-    /// An empty permit, which grows as a body arrives.
+    /// Creates an empty permit, to be grown as a body arrives.
     pub fn permit(&self) -> BodyPermit {
         BodyPermit { shared: Arc::clone(&self.shared), size_bytes: 0 }
     }
 }
 
-/// A body's share of the [`BodyBudget`]; dropping it gives the share back.
+/// A body's part of the [`BodyBudget`], which is released on drop.
 #[derive(Debug)]
 pub struct BodyPermit {
     shared: Arc<Shared>,
@@ -61,7 +61,7 @@
 }
 
 impl BodyPermit {
-    /// Takes `size_bytes` more; `false` when the budget has not that much left.
+    /// Takes `size_bytes` more from the budget; returns `false` if less than that is left.
     #[must_use]
     pub fn grow(&mut self, size_bytes: u64) -> bool {
         let taken = self.shared.held_bytes.fetch_update(
--- /dev/null
+++ b/crates/exchange/src/caller_connection.rs
@@ -0,0 +1,28 @@
+//! Detects whether the caller of a request has disconnected.
+
+use std::sync::{Mutex, PoisonError, Weak};
+
+use crate::read_ahead::ReadState;
+
+/// Request extension that refers to the caller's connection.
+#[derive(Debug, Clone)]
+pub struct CallerConnection {
+    /// Weak, because a request in progress must not keep the socket of a closed connection open.
+    state: Weak<Mutex<ReadState>>,
+}
+
+impl CallerConnection {
+    pub(crate) fn new(state: Weak<Mutex<ReadState>>) -> Self {
+        Self { state }
+    }
+
+    /// Returns whether the caller has closed its connection, according to the kernel.
+    ///
+    /// In an overloaded process the async runtime detects a closed connection late, and work would
+    /// start for callers that have disconnected.
+    pub fn is_closed(&self) -> bool {
+        self.state
+            .upgrade()
+            .is_none_or(|state| state.lock().unwrap_or_else(PoisonError::into_inner).is_closed())
+    }
+}
--- a/crates/exchange/src/digest.rs
+++ b/crates/exchange/src/digest.rs
@@ -1,4 +1,4 @@
-//! `Content-Digest` (RFC 9530), algorithm sha-256.
+//! Verification of `Content-Digest` (RFC 9530) with the algorithm sha-256.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -9,17 +9,17 @@
 const CONTENT_DIGEST: HeaderName = HeaderName::from_static("content-digest");
 const SHA_256_MEMBER: &str = "sha-256=:";
 
-/// What a message's `Content-Digest` says about its body.
+/// Result of comparing a body with the `Content-Digest` of its message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DigestCheck {
-    /// No digest, or none by an algorithm known here.
+    /// No digest, or none with a supported algorithm.
     Absent,
     Matches,
     Differs,
     Malformed,
 }
 
-/// Compares `body` with the digest that came with it.
+/// Compares `body` with the `Content-Digest` in `headers`.
 pub(crate) fn check_digest(headers: &HeaderMap, body: &[u8]) -> DigestCheck {
     let mut checked = DigestCheck::Absent;
     for value in headers.get_all(CONTENT_DIGEST) {
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Sends requests to targets, each attempt at most once, and reads the answers whole.
+//! Sends each attempt to its target at most once and reads the complete answer.
 
 use std::error::Error;
 use std::fmt;
@@ -14,25 +14,25 @@
 use crate::answer::BufferedAnswer;
 use crate::attempt::{Attempt, AttemptFailure, FailureCause, NotRunEvidence, Sent, Unsent};
 use crate::body_budget::BodyBudget;
+use crate::body_buffer::{BodyBuffer, BodyBufferError};
 use crate::digest::{DigestCheck, check_digest};
 use crate::exchange_config::ExchangeConfig;
-use crate::gate::{ConnectionGate, GateLayer, GateRefusal, with_target};
-use crate::gather::{Gather, GatherError};
-use crate::headers::{DEADLINE_HEADER, deadline_value, strip_hop_by_hop, strip_system_headers};
+use crate::gate::{ConnectionGate, GateLayer, GateRejection, with_target};
+use crate::headers::{DEADLINE_HEADER, deadline_value, strip_entry_headers, strip_hop_by_hop};
 use crate::read_request::BufferedRequest;
-use crate::send_mark::{LateError, MarkedBody, SendMark};
+use crate::send_state::{DeadlinePassedError, SendState, TrackedBody};
 
 const VIA_VALUE: HeaderValue = HeaderValue::from_static("1.1 shallotfork");
 
-/// Reads the process's monotonic clock.
+/// Returns the current time of the process's monotonic clock.
 pub type NowFn = Arc<dyn Fn() -> Mono + Send + Sync>;
 
-/// When the HTTP clients can't be set up.
+/// Failure to set up the HTTP clients.
 #[derive(Debug, Error)]
 #[error("can't set up the HTTP client")]
 pub struct ExchangeError(#[from] reqwest::Error);
 
-/// The connections to all targets; cheap to clone.
+/// HTTP clients with pooled connections to all targets; cheap to clone.
 #[derive(Clone)]
 pub struct Exchange {
     http1: Client,
@@ -49,10 +49,11 @@
 }
 
 impl Exchange {
-    /// Opens no connection yet; `budget` is shared with [`read_request`](crate::read_request()).
+    /// Creates the clients without opening a connection. `budget` is shared with
+    /// [`read_request`](crate::read_request()).
     ///
     /// # Errors
-    /// When the HTTP clients can't be set up.
+    /// If the HTTP clients can't be set up.
     pub fn new(
         config: ExchangeConfig,
         budget: BodyBudget,
@@ -64,61 +65,63 @@
         Ok(Self { http1, http2, config, budget, now })
     }
 
-    /// Sends the request once and reads the answer whole.
+    /// Sends the request once and reads the complete answer.
     ///
-    /// Dropping the future closes the connection, so that a late answer has nowhere to go.
+    /// Dropping the future closes the connection, so that a late answer is never read.
     ///
     /// # Errors
-    /// The cause, and whether the request may have run.
+    /// If there is no complete answer. The failure has the cause and whether the request may have
+    /// run.
     pub async fn send(&self, attempt: Attempt<Unsent>) -> Result<BufferedAnswer, AttemptFailure> {
         let remaining = attempt.remaining((self.now)());
         if remaining.is_zero() {
             return Err(attempt.not_run(FailureCause::DeadlinePassed));
         }
-        let mark = SendMark::default();
-        let Some(request) = self.request(&attempt, remaining, &mark) else {
+        let send_state = SendState::default();
+        let Some(request) = self.build_request(&attempt, remaining, &send_state) else {
             return Err(attempt.not_run(FailureCause::BadRequest));
         };
         let client = if attempt.target().http2 { &self.http2 } else { &self.http1 };
-        let executing = with_target(attempt.target().endpoint, client.execute(request));
+        let sending = with_target(attempt.target().endpoint, client.execute(request));
         let deadline = tokio::time::Instant::now() + remaining;
-        match tokio::time::timeout_at(deadline, executing).await {
-            Err(_) => Err(timed_out(attempt, &mark)),
-            Ok(Err(error)) => Err(failed(attempt, &mark, &error)),
+        match tokio::time::timeout_at(deadline, sending).await {
+            Err(_) => Err(classify_timeout(attempt, &send_state)),
+            Ok(Err(error)) => Err(classify_error(attempt, &send_state, &error)),
             Ok(Ok(response)) => {
                 let attempt = attempt.into_sent();
-                match tokio::time::timeout_at(deadline, self.read(&attempt, response)).await {
+                match tokio::time::timeout_at(deadline, self.read_answer(&attempt, response)).await
+                {
                     Err(_) => Err(attempt.may_have_run(FailureCause::Timeout)),
                     Ok(Err(cause)) => Err(attempt.may_have_run(cause)),
-                    Ok(Ok(answer)) => judge(attempt, answer),
+                    Ok(Ok(answer)) => check_shed_status(attempt, answer),
                 }
             }
         }
     }
 
-    fn request(
+    fn build_request(
         &self,
         attempt: &Attempt<Unsent>,
         remaining: Duration,
-        mark: &SendMark,
+        send_state: &SendState,
     ) -> Option<Request> {
-        let whole = attempt.request();
+        let original = attempt.request();
         let target = attempt.target();
         let url =
-            Url::parse(&format!("http://{}{}", target.endpoint, whole.path_and_query)).ok()?;
-        let mut request = Request::new(whole.method.clone(), url);
-        *request.headers_mut() = headers(whole, target.http2, remaining);
-        let body = MarkedBody::new(
-            whole.body.clone(),
+            Url::parse(&format!("http://{}{}", target.endpoint, original.path_and_query)).ok()?;
+        let mut request = Request::new(original.method.clone(), url);
+        *request.headers_mut() = request_headers(original, target.http2, remaining);
+        let body = TrackedBody::new(
+            original.body.clone(),
             attempt.deadline(),
             Arc::clone(&self.now),
-            mark.clone(),
+            send_state.clone(),
         );
         *request.body_mut() = Some(reqwest::Body::wrap(body));
         Some(request)
     }
 
-    async fn read(
+    async fn read_answer(
         &self,
         attempt: &Attempt<Sent>,
         mut response: Response,
@@ -130,32 +133,32 @@
         let mut headers = std::mem::take(response.headers_mut());
         let bodiless = is_bodiless(&attempt.request().method, status);
         let limit_bytes = self.config.answer_max.value();
-        if !bodiless && declared_bytes(&headers) > limit_bytes {
+        if !bodiless && declared_length(&headers) > limit_bytes {
             return Err(FailureCause::AnswerTooLarge);
         }
-        let mut gather = Gather::new(limit_bytes, self.budget.permit());
-        while let Some(piece) =
+        let mut body_buffer = BodyBuffer::new(limit_bytes, self.budget.permit());
+        while let Some(chunk) =
             response.chunk().await.map_err(|_| FailureCause::AnswerIncomplete)?
         {
-            gather.push(piece).map_err(|error| match error {
-                GatherError::TooLarge => FailureCause::AnswerTooLarge,
-                GatherError::BudgetFull => FailureCause::BudgetFull,
+            body_buffer.push(chunk).map_err(|error| match error {
+                BodyBufferError::TooLarge => FailureCause::AnswerTooLarge,
+                BodyBufferError::BudgetFull => FailureCause::BudgetFull,
             })?;
         }
-        let body = gather.finish();
+        let body = body_buffer.finish();
         if !bodiless {
-            check_answer(&headers, &body)?;
+            check_answer_digest(&headers, &body)?;
         }
         strip_hop_by_hop(&mut headers);
-        strip_system_headers(&mut headers);
+        strip_entry_headers(&mut headers);
         Ok(BufferedAnswer { status, headers, body })
     }
 }
 
-/// A client that sends each request once and passes on what it is given.
+/// Returns the builder of a client that sends each request once, to the given address only.
 ///
-/// Redirects would replay a request at another address; the retry policy would send it again
-/// after a protocol refusal; proxy variables of the environment would lead it elsewhere.
+/// Redirects would resend a request to another address, the retry policy would resend it after a
+/// protocol-level rejection, and proxy environment variables would send it to another host.
 fn client(config: &ExchangeConfig, gate: &Arc<dyn ConnectionGate>) -> reqwest::ClientBuilder {
     Client::builder()
         .redirect(reqwest::redirect::Policy::none())
@@ -169,13 +172,13 @@
         .connector_layer(GateLayer::new(Arc::clone(gate)))
 }
 
-fn headers(whole: &BufferedRequest, http2: bool, remaining: Duration) -> HeaderMap {
-    let mut headers = whole.headers.clone();
+fn request_headers(original: &BufferedRequest, http2: bool, remaining: Duration) -> HeaderMap {
+    let mut headers = original.headers.clone();
     headers.insert(DEADLINE_HEADER, deadline_value(remaining));
     headers.append(VIA, VIA_VALUE);
-    // RFC 9113, 8.3.1: `Host` must not differ from `:authority`, which is the target's address.
+    // `Host` must not differ from `:authority`, which is the target's address (RFC 9113, 8.3.1).
     if http2 && headers.remove(HOST).is_some() {
-        let forwarded = format!("host={}", whole.service);
+        let forwarded = format!("host={}", original.service);
         if let Ok(value) = HeaderValue::from_str(&forwarded) {
             headers.append(FORWARDED, value);
         }
@@ -187,38 +190,42 @@
     method == Method::HEAD || status == StatusCode::NOT_MODIFIED || status == StatusCode::NO_CONTENT
 }
 
-fn declared_bytes(headers: &HeaderMap) -> u64 {
+fn declared_length(headers: &HeaderMap) -> u64 {
     let text = headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok());
     text.and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
-fn check_answer(headers: &HeaderMap, body: &[u8]) -> Result<(), FailureCause> {
+fn check_answer_digest(headers: &HeaderMap, body: &[u8]) -> Result<(), FailureCause> {
     match check_digest(headers, body) {
         DigestCheck::Absent | DigestCheck::Matches => Ok(()),
         DigestCheck::Differs | DigestCheck::Malformed => Err(FailureCause::AnswerDigestMismatch),
     }
 }
 
-fn timed_out(attempt: Attempt<Unsent>, mark: &SendMark) -> AttemptFailure {
-    if mark.is_taken() {
+fn classify_timeout(attempt: Attempt<Unsent>, send_state: &SendState) -> AttemptFailure {
+    if send_state.has_started() {
         return attempt.into_sent().may_have_run(FailureCause::Timeout);
     }
     attempt.not_run(FailureCause::DeadlinePassed)
 }
 
-fn failed(attempt: Attempt<Unsent>, mark: &SendMark, error: &reqwest::Error) -> AttemptFailure {
-    // HTTP/2 has sent the headers by the time the body ends in this error.
-    if source_is::<LateError>(error) && !attempt.target().http2 {
+fn classify_error(
+    attempt: Attempt<Unsent>,
+    send_state: &SendState,
+    error: &reqwest::Error,
+) -> AttemptFailure {
+    // On HTTP/2 the headers have been sent by the time the body fails with this error.
+    if source_is::<DeadlinePassedError>(error) && !attempt.target().http2 {
         return attempt.not_run(FailureCause::DeadlinePassed);
     }
-    if mark.is_taken() {
+    if send_state.has_started() {
         let attempt = attempt.into_sent();
         if is_stream_refused(error) {
             return attempt.not_run(NotRunEvidence::StreamRefused);
         }
         return attempt.may_have_run(FailureCause::ConnectionLost);
     }
-    if source_is::<GateRefusal>(error) {
+    if source_is::<GateRejection>(error) {
         return attempt.not_run(FailureCause::ConnectRefusedByGate);
     }
     if error.is_builder() {
@@ -227,14 +234,15 @@
     attempt.not_run(FailureCause::ConnectFailed)
 }
 
-/// RFC 9113, 8.7: the two ways in which HTTP/2 says that a stream was not processed.
+/// Returns whether the error is one of the two HTTP/2 signals that a stream was not processed
+/// (RFC 9113, 8.7).
 fn is_stream_refused(error: &reqwest::Error) -> bool {
     let Some(error) = find_source::<h2::Error>(error) else {
         return false;
     };
-    let refused = error.is_reset() && error.reason() == Some(h2::Reason::REFUSED_STREAM);
-    let below = error.is_go_away() && error.reason() == Some(h2::Reason::NO_ERROR);
-    error.is_remote() && (refused || below)
+    let is_refused = error.is_reset() && error.reason() == Some(h2::Reason::REFUSED_STREAM);
+    let is_unprocessed = error.is_go_away() && error.reason() == Some(h2::Reason::NO_ERROR);
+    error.is_remote() && (is_refused || is_unprocessed)
 }
 
 fn source_is<E: Error + 'static>(error: &(dyn Error + 'static)) -> bool {
@@ -252,7 +260,10 @@
     None
 }
 
-fn judge(attempt: Attempt<Sent>, answer: BufferedAnswer) -> Result<BufferedAnswer, AttemptFailure> {
+fn check_shed_status(
+    attempt: Attempt<Sent>,
+    answer: BufferedAnswer,
+) -> Result<BufferedAnswer, AttemptFailure> {
     if attempt.target().shed_status != Some(answer.status) {
         return Ok(answer);
     }
@@ -260,7 +271,8 @@
     Err(attempt.not_run(NotRunEvidence::Shed { retry_after }))
 }
 
-/// The delay form of `Retry-After`; the date form is left out, since it compares two clocks.
+/// Returns the delay form of `Retry-After`. The date form is ignored, because it would compare the
+/// clocks of two machines.
 fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(RETRY_AFTER)?.to_str().ok()?;
     text.trim().parse().ok().map(Duration::from_secs)
--- a/crates/exchange/src/exchange_config.rs
+++ b/crates/exchange/src/exchange_config.rs
@@ -9,16 +9,16 @@
 const DEFAULT_POOL_IDLE_MAX: usize = 16;
 const DEFAULT_ANSWER_MAX: Bytes = Bytes::from_mib(32);
 
-/// How connections to targets are made and kept, and how large an answer may be.
+/// Connection and answer limits of an [`Exchange`](crate::Exchange).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ExchangeConfig {
-    /// The longest time to open a connection; 500 ms by default.
+    /// The timeout for opening a connection; 500 ms by default.
     pub connect_timeout: Duration,
-    /// An idle connection is closed after this time; 30 s by default.
+    /// The time after which an idle connection is closed; 30 s by default.
     pub pool_idle_timeout: Duration,
-    /// Idle connections kept to one target; 16 by default.
+    /// The maximum number of idle connections to one target; 16 by default.
     pub pool_idle_max: usize,
-    /// The largest body of an answer; 32 MiB by default.
+    /// The maximum size of an answer's body; 32 MiB by default.
     pub answer_max: Bytes,
 }
 
--- a/crates/exchange/src/gate.rs
+++ b/crates/exchange/src/gate.rs
@@ -1,4 +1,4 @@
-//! Counts and limits new connections to targets.
+//! Admission control for new connections to targets.
 
 use std::fmt::Debug;
 use std::future::Future;
@@ -10,22 +10,22 @@
 use thiserror::Error;
 use tower::{BoxError, Layer, Service};
 
-/// Leave to open one connection; holds whatever the gate needs until it is open or has failed.
+/// Permit to open one connection, held until the connection is open or has failed.
 pub type ConnectionPermit = Box<dyn Send + Sync>;
 
-/// Decides when a connection to a target may be opened.
+/// Decides whether and when a connection to a target may be opened.
 ///
-/// A new connection costs a target processor time, so that entries which all reconnect at once
-/// slow down the requests they mean to send.
+/// A new connection costs a target CPU time: when many entries reconnect at once, they slow down
+/// the very requests that they want to send.
 pub trait ConnectionGate: Debug + Send + Sync {
-    /// Waits until one more connection to `target` may be opened; `None` refuses it.
+    /// Waits until one more connection to `target` may be opened; returns `None` to reject it.
     fn open(
         &self,
         target: Endpoint,
     ) -> Pin<Box<dyn Future<Output = Option<ConnectionPermit>> + Send + '_>>;
 }
 
-/// A gate that never refuses and never waits.
+/// A gate that admits every connection immediately.
 #[derive(Debug, Default)]
 pub struct UnlimitedGate;
 
@@ -39,14 +39,14 @@
 }
 
 tokio::task_local! {
-    /// The target of the request that is being sent by this task.
+    /// The target of the request that this task is sending.
     static TARGET: Endpoint;
 }
 
 /// Makes `target` known to the gate while `sending` runs.
 ///
-/// reqwest hides from a connector layer which address it is asked for. It calls the connector
-/// inside the future of the request that needs the connection, so that a task-local value tells.
+/// reqwest doesn't tell a connector layer which address is requested. It calls the connector within
+/// the future of the request that needs the connection, so a task-local value can carry the target.
 pub(crate) fn with_target<F: Future>(
     target: Endpoint,
     sending: F,
@@ -54,12 +54,12 @@
     TARGET.scope(target, sending)
 }
 
-/// When the gate refuses a connection.
+/// Rejection of a new connection by the gate.
 #[derive(Debug, Error)]
 #[error("too many new connections to the target")]
-pub(crate) struct GateRefusal;
+pub(crate) struct GateRejection;
 
-/// Asks the gate before each connection that reqwest opens.
+/// Connector layer that asks the gate for a permit before reqwest opens a connection.
 #[derive(Debug, Clone)]
 pub(crate) struct GateLayer {
     gate: Arc<dyn ConnectionGate>,
@@ -79,7 +79,7 @@
     }
 }
 
-/// A connector behind the gate.
+/// A connector that waits for a permit of the gate before it connects.
 #[derive(Debug, Clone)]
 pub(crate) struct GateService<S> {
     connector: S,
@@ -109,7 +109,7 @@
         let mut connector = std::mem::replace(&mut self.connector, ready);
         Box::pin(async move {
             let Some(_permit) = gate.open(target).await else {
-                return Err(BoxError::from(GateRefusal));
+                return Err(BoxError::from(GateRejection));
             };
             connector.call(request).await
         })
--- a/crates/exchange/src/headers.rs
+++ b/crates/exchange/src/headers.rs
@@ -1,4 +1,4 @@
-//! Header rules of an HTTP intermediary (RFC 9110, 7.6) and the headers of this system.
+//! Header rules of an HTTP intermediary (RFC 9110, 7.6) and Shallotfork's own headers.
 
 use std::time::Duration;
 
@@ -9,26 +9,26 @@
 };
 use shallotfork_types::{CallerName, IdempotencyKey};
 
-use crate::refusal::Rejection;
+use crate::rejection::Rejection;
 
-/// The session that an entry issued; read and removed here.
+/// The session issued by an entry; not forwarded to the target.
 pub const SESSION_HEADER: HeaderName = HeaderName::from_static("shallotfork-session");
-/// The caller's name for one non-idempotent operation; passed on to the target.
+/// The idempotency key that the caller gives to an operation; forwarded to the target.
 pub const KEY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
-/// Milliseconds that the caller still waits; passed on with what remains of it.
+/// The caller's remaining timeout in milliseconds; forwarded with the time that is left.
 pub const DEADLINE_HEADER: HeaderName = HeaderName::from_static("shallotfork-deadline-ms");
-/// Who calls; passed on to the target.
+/// The name of the caller; forwarded to the target.
 pub const CALLER_HEADER: HeaderName = HeaderName::from_static("shallotfork-caller");
-/// On answers that the system itself makes: whether the request may have run.
+/// Whether the request may have run; set on answers made by an entry itself.
 pub const VERDICT_HEADER: HeaderName = HeaderName::from_static("shallotfork-verdict");
-/// On an answer that was kept from the operation's one run.
+/// Marks an answer that was stored when the operation ran and is now replayed.
 pub const REPLAYED_HEADER: HeaderName = HeaderName::from_static("shallotfork-replayed");
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 const PROXY_AUTHENTICATION_INFO: HeaderName = HeaderName::from_static("proxy-authentication-info");
 
-/// Meant for the next hop only, whether or not `Connection` names them.
+/// Headers for the next hop only, whether or not `Connection` lists them.
 const HOP_BY_HOP: [HeaderName; 10] = [
     CONNECTION,
     KEEP_ALIVE,
@@ -42,17 +42,16 @@
     PROXY_AUTHENTICATION_INFO,
 ];
 
-/// Meant for the target, even when a caller's `Connection` names them (RFC 9110, 7.6.1, forbids
-/// that). Without them a target would serve another host, or an operation without its key.
+/// Headers that are forwarded even when a caller's `Connection` lists them, which RFC 9110, 7.6.1,
+/// forbids. Without them a target would serve another host, or run an operation without its key.
 const END_TO_END: [HeaderName; 3] = [HOST, KEY_HEADER, CALLER_HEADER];
 
-/// A session longer than this was not issued by any entry.
+/// Maximum length of a session; no entry issues a longer one.
 const MAX_SESSION_BYTES: usize = 1024;
-/// A caller that waits longer is treated as one that waits this long: one day.
+/// Upper limit for a caller's timeout: one day.
 const MAX_DEADLINE: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// Removes what must not be passed on: `Connection`, what it names, and the other hop-by-hop
-/// fields.
+/// Removes `Connection`, the headers that it lists, and all other hop-by-hop headers.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     for name in named_by_connection(headers) {
         headers.remove(name);
@@ -62,11 +61,11 @@
     }
 }
 
-/// Removes the headers that only the system's own answers may carry.
+/// Removes the headers that only an entry may set on an answer.
 ///
-/// A target that hands on an answer of another service would otherwise tell its caller a verdict
+/// A target that forwards the answer of another service would otherwise give its caller the verdict
 /// on a different request.
-pub(crate) fn strip_system_headers(headers: &mut HeaderMap) {
+pub(crate) fn strip_entry_headers(headers: &mut HeaderMap) {
     headers.remove(VERDICT_HEADER);
     headers.remove(REPLAYED_HEADER);
 }
@@ -82,34 +81,37 @@
         .collect()
 }
 
-/// What a caller asks of the system itself, beside the request to the target.
+/// The request headers that are addressed to the entry.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ControlHeaders {
-    /// The session, as text; its issuer checks it.
+    /// The session as text; the entry that issued it verifies it.
     pub session: Option<String>,
-    /// The operation's key.
+    /// The idempotency key of the operation.
     pub key: Option<IdempotencyKey>,
-    /// How long the caller waits, counted from the request's arrival.
+    /// The caller's timeout, starting with the arrival of the request.
     pub deadline: Option<Duration>,
-    /// Who calls.
+    /// The name of the caller.
     pub caller: Option<CallerName>,
 }
 
 impl ControlHeaders {
-    /// Reads the control headers and removes those that a target has no use for.
+    /// Parses the control headers and removes those that are not forwarded to a target.
     pub(crate) fn take(headers: &mut HeaderMap) -> Result<Self, Rejection> {
-        let session = single(headers, &SESSION_HEADER)?.map(session).transpose()?;
-        let key = single(headers, &KEY_HEADER)?.map(key).transpose()?;
-        let deadline = single(headers, &DEADLINE_HEADER)?.map(deadline).transpose()?;
-        let caller = single(headers, &CALLER_HEADER)?.map(caller).transpose()?;
+        let session = single_value(headers, &SESSION_HEADER)?.map(parse_session).transpose()?;
+        let key = single_value(headers, &KEY_HEADER)?.map(parse_key).transpose()?;
+        let deadline = single_value(headers, &DEADLINE_HEADER)?.map(parse_deadline).transpose()?;
+        let caller = single_value(headers, &CALLER_HEADER)?.map(parse_caller).transpose()?;
         headers.remove(SESSION_HEADER);
         headers.remove(DEADLINE_HEADER);
         Ok(Self { session, key, deadline, caller })
     }
 }
 
-/// Two different values of one control header would leave open which one was meant.
-fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, Rejection> {
+/// Returns the value of a control header; several values are rejected as ambiguous.
+fn single_value<'a>(
+    headers: &'a HeaderMap,
+    name: &HeaderName,
+) -> Result<Option<&'a str>, Rejection> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
         return Ok(None);
@@ -120,32 +122,33 @@
     value.to_str().map(Some).map_err(|_| Rejection::bad_header(name, "it is not visible ASCII"))
 }
 
-fn session(text: &str) -> Result<String, Rejection> {
-    let fits = !text.is_empty() && text.len() <= MAX_SESSION_BYTES;
-    if !fits {
+fn parse_session(text: &str) -> Result<String, Rejection> {
+    let is_valid_length = !text.is_empty() && text.len() <= MAX_SESSION_BYTES;
+    if !is_valid_length {
         return Err(Rejection::bad_header(&SESSION_HEADER, "expected 1 to 1024 characters"));
     }
     Ok(text.to_owned())
 }
 
-fn key(text: &str) -> Result<IdempotencyKey, Rejection> {
+fn parse_key(text: &str) -> Result<IdempotencyKey, Rejection> {
     text.parse().map_err(|error| Rejection::bad_header(&KEY_HEADER, &format!("{error}")))
 }
 
-fn caller(text: &str) -> Result<CallerName, Rejection> {
+fn parse_caller(text: &str) -> Result<CallerName, Rejection> {
     text.parse().map_err(|error| Rejection::bad_header(&CALLER_HEADER, &format!("{error}")))
 }
 
-fn deadline(text: &str) -> Result<Duration, Rejection> {
-    let digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
-    if !digits {
+fn parse_deadline(text: &str) -> Result<Duration, Rejection> {
+    let is_number = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
+    if !is_number {
         return Err(Rejection::bad_header(&DEADLINE_HEADER, "expected a whole number"));
     }
-    let wait_ms = text.parse().unwrap_or(u64::MAX);
-    Ok(Duration::from_millis(wait_ms).min(MAX_DEADLINE))
+    let timeout_ms = text.parse().unwrap_or(u64::MAX);
+    Ok(Duration::from_millis(timeout_ms).min(MAX_DEADLINE))
 }
 
-/// Whole milliseconds, rounded down so that a hop never promises time that is not there.
+/// Formats the remaining time in whole milliseconds, rounded down so that the next hop never gets
+/// more time than is left.
 pub(crate) fn deadline_value(remaining: Duration) -> HeaderValue {
     let remaining_ms = u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX);
     HeaderValue::from(remaining_ms)
--- a/crates/exchange/src/openings.rs
+++ b/crates/exchange/src/opened_connections.rs
@@ -1,37 +1,37 @@
-//! Counts the connections that are opened to targets, by what they are opened for.
+//! Counts the connections opened to targets by their purpose.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What a connection to a target is opened for.
+/// The purpose of a connection to a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionPurpose {
     /// To send a request of a caller.
     Request,
-    /// To ask the target for its load.
+    /// To probe the target's load.
     Probe,
-    /// To see whether the target's port refuses connections.
+    /// To check whether the target's port refuses connections.
     PortCheck,
 }
 
-/// Connections opened since the process began, whether they were established or not.
+/// Number of connections opened since the start of the process, including failed ones.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OpenedConnections {
     /// For requests of callers.
     pub requests: u64,
-    /// For questions about a target's load.
+    /// For probes of a target's load.
     pub probes: u64,
-    /// To see whether a port refuses connections.
+    /// For checks whether a port refuses connections.
     pub port_checks: u64,
 }
 
 /// The counters behind [`OpenedConnections`]; clones share them.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct OpeningCounters {
+pub(crate) struct ConnectionCounters {
     counters: Arc<[AtomicU64; 3]>,
 }
 
-impl OpeningCounters {
+impl ConnectionCounters {
     pub(crate) fn count(&self, purpose: ConnectionPurpose) {
         self.counter(purpose).fetch_add(1, Ordering::Relaxed);
     }
--- a/crates/exchange/src/problem.rs
+++ b/crates/exchange/src/problem.rs
@@ -1,4 +1,4 @@
-//! Answers that the system itself makes: problem details (RFC 9457) with a verdict.
+//! Answers made by an entry itself: problem details (RFC 9457) with a verdict.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 const CONTENT_TYPE_PROBLEM: &str = "application/problem+json";
 
-/// An answer without a target's answer in it.
+/// An answer to a caller that does not come from a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
     status: StatusCode,
@@ -34,7 +34,7 @@
 }
 
 impl Problem {
-    /// A problem whose title is the status's standard phrase.
+    /// Creates a problem with the standard reason phrase of `status` as its title.
     pub fn new(status: StatusCode, verdict: Verdict) -> Self {
         let title = status.canonical_reason().unwrap_or("Error").to_owned();
         Self { status, verdict, title, detail: None, retry_after: None, close: false }
@@ -47,38 +47,39 @@
         self
     }
 
-    /// Says what is wrong with this request in particular.
+    /// Sets the detail, which explains this occurrence of the problem.
     #[must_use]
     pub fn with_detail(mut self, detail: &str) -> Self {
         self.detail = Some(detail.to_owned());
         self
     }
 
-    /// Says when to come back: `Retry-After` in seconds rounded up, and `retry_after_ms` exactly.
+    /// Sets the delay before a retry: `Retry-After` in seconds and `retry_after_ms` in
+    /// milliseconds, both rounded up.
     #[must_use]
-    pub fn with_retry_after(mut self, wait: Duration) -> Self {
-        self.retry_after = Some(wait);
+    pub fn with_retry_after(mut self, delay: Duration) -> Self {
+        self.retry_after = Some(delay);
         self
     }
 
-    /// Ends the caller's HTTP/1 connection after this answer.
+    /// Closes the caller's HTTP/1 connection after this answer.
     #[must_use]
     pub fn with_close(mut self) -> Self {
         self.close = true;
         self
     }
 
-    /// The HTTP status.
+    /// Returns the HTTP status.
     pub fn status(&self) -> StatusCode {
         self.status
     }
 
-    /// Whether the request may have run.
+    /// Returns whether the request may have run.
     pub fn verdict(&self) -> Verdict {
         self.verdict
     }
 
-    /// The answer for the caller.
+    /// Converts the problem into the response for the caller.
     pub fn into_response(self) -> poem::Response {
         let body = ProblemBody {
             status: self.status.as_u16(),
@@ -93,8 +94,8 @@
             .content_type(CONTENT_TYPE_PROBLEM)
             .header(CACHE_CONTROL, "no-store")
             .header(VERDICT_HEADER, self.verdict.as_str());
-        if let Some(wait) = self.retry_after {
-            response = response.header(RETRY_AFTER, seconds_rounded_up(wait));
+        if let Some(delay) = self.retry_after {
+            response = response.header(RETRY_AFTER, seconds_rounded_up(delay));
         }
         if self.close {
             response = response.header(CONNECTION, "close");
@@ -109,10 +110,10 @@
     }
 }
 
-fn millis_rounded_up(wait: Duration) -> u64 {
-    u64::try_from(wait.as_nanos().div_ceil(1_000_000)).unwrap_or(u64::MAX)
+fn millis_rounded_up(delay: Duration) -> u64 {
+    u64::try_from(delay.as_nanos().div_ceil(1_000_000)).unwrap_or(u64::MAX)
 }
 
-fn seconds_rounded_up(wait: Duration) -> u64 {
-    millis_rounded_up(wait).div_ceil(1000)
+fn seconds_rounded_up(delay: Duration) -> u64 {
+    millis_rounded_up(delay).div_ceil(1000)
 }
--- /dev/null
+++ b/crates/exchange/src/read_ahead.rs
@@ -0,0 +1,181 @@
+//! Reads bytes from a caller's connection while an earlier request is still being answered.
+
+use std::io;
+use std::pin::Pin;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::task::{Context, Poll, Waker, ready};
+
+use bytes::{Buf, BytesMut};
+use rustix::io::Errno;
+use rustix::net::{RecvFlags, recv};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+
+use crate::caller_connection::CallerConnection;
+use crate::head_scanner::HeadScanner;
+
+/// Limit on bytes read ahead; a caller that sends more waits until earlier requests are answered.
+const READ_AHEAD_MAX_BYTES: usize = 64 * 1024;
+const READ_CHUNK_BYTES: usize = 8 * 1024;
+
+/// The read half of a connection: [`ReadAhead::drive`] buffers bytes as they arrive, and the HTTP
+/// library consumes them when it is ready.
+///
+/// The HTTP library stops reading while it waits for an answer and has bytes of a further request
+/// buffered. Without reading ahead, each pipelined request would wait for the previous answer, and
+/// the disconnect of a caller would go unnoticed.
+#[derive(Debug, Clone)]
+pub(crate) struct ReadAhead {
+    state: Arc<Mutex<ReadState>>,
+}
+
+/// The read half of a connection with the bytes that the HTTP library has not consumed yet.
+#[derive(Debug)]
+pub(crate) struct ReadState {
+    socket: OwnedReadHalf,
+    buffered: BytesMut,
+    has_ended: bool,
+    /// Wakes the HTTP library's task when it waits for bytes.
+    waker: Option<Waker>,
+    head_scanner: HeadScanner,
+}
+
+impl ReadAhead {
+    /// Splits a connection into the stream for the HTTP library and the handle that reads ahead.
+    pub(crate) fn new(stream: TcpStream) -> (ReadAheadStream, Self) {
+        let (socket, write_half) = stream.into_split();
+        let state = ReadState {
+            socket,
+            buffered: BytesMut::new(),
+            has_ended: false,
+            waker: None,
+            head_scanner: HeadScanner::new(),
+        };
+        let ahead = Self { state: Arc::new(Mutex::new(state)) };
+        (ReadAheadStream { ahead: ahead.clone(), write_half }, ahead)
+    }
+
+    /// Reads until the caller closes the connection. Calls `on_head` with the head of each request
+    /// without a body and with the request's index on the connection, starting at 0.
+    pub(crate) async fn drive(&self, mut on_head: impl FnMut(u64, http::request::Parts)) {
+        loop {
+            let has_ended = std::future::poll_fn(|cx| self.lock().poll_fill(cx)).await;
+            let found_heads = self.lock().head_scanner.take();
+            for (index, head) in found_heads {
+                on_head(index, head);
+            }
+            if has_ended {
+                return;
+            }
+        }
+    }
+
+    /// Returns whether received bytes have not been consumed by the HTTP library yet.
+    pub(crate) fn has_buffered_bytes(&self) -> bool {
+        !self.lock().buffered.is_empty()
+    }
+
+    /// Returns a handle by which requests can check whether their caller has disconnected.
+    pub(crate) fn caller_connection(&self) -> CallerConnection {
+        CallerConnection::new(Arc::downgrade(&self.state))
+    }
+
+    fn lock(&self) -> MutexGuard<'_, ReadState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+impl ReadState {
+    /// Returns whether the caller has closed the connection. While the socket holds unread bytes,
+    /// a close behind them goes undetected.
+    pub(crate) fn is_closed(&self) -> bool {
+        if self.has_ended {
+            return true;
+        }
+        let mut byte = [0; 1];
+        let flags = RecvFlags::PEEK | RecvFlags::DONTWAIT;
+        match recv(self.socket.as_ref(), &mut byte, flags) {
+            Ok((_, size)) => size == 0,
+            Err(Errno::AGAIN | Errno::INTR) => false,
+            Err(_) => true,
+        }
+    }
+
+    /// Buffers received bytes; ready with `true` once the connection has ended.
+    fn poll_fill(&mut self, cx: &mut Context<'_>) -> Poll<bool> {
+        if self.has_ended {
+            return Poll::Ready(true);
+        }
+        if self.buffered.len() >= READ_AHEAD_MAX_BYTES {
+            // The HTTP library consumes bytes in the same task, which then polls this again.
+            return Poll::Pending;
+        }
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        let mut buffer = ReadBuf::new(&mut chunk);
+        let read = ready!(Pin::new(&mut self.socket).poll_read(cx, &mut buffer));
+        let bytes = buffer.filled();
+        self.has_ended = read.is_err() || bytes.is_empty();
+        self.buffered.extend_from_slice(bytes);
+        self.head_scanner.push(bytes);
+        if let Some(waker) = self.waker.take() {
+            waker.wake();
+        }
+        Poll::Ready(self.has_ended)
+    }
+}
+
+/// The stream given to the HTTP library; its reads come from the buffer of [`ReadAhead`].
+#[derive(Debug)]
+pub(crate) struct ReadAheadStream {
+    ahead: ReadAhead,
+    write_half: OwnedWriteHalf,
+}
+
+impl AsyncRead for ReadAheadStream {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let mut state = self.ahead.lock();
+        if state.buffered.is_empty() && !state.has_ended {
+            state.waker = Some(cx.waker().clone());
+            return Poll::Pending;
+        }
+        let size = state.buffered.len().min(buf.remaining());
+        buf.put_slice(&state.buffered[..size]);
+        state.buffered.advance(size);
+        Poll::Ready(Ok(()))
+    }
+}
+
+impl AsyncWrite for ReadAheadStream {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.write_half).poll_write(cx, buf)
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.write_half).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.write_half).poll_shutdown(cx)
+    }
+
+    fn poll_write_vectored(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bufs: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.write_half).poll_write_vectored(cx, bufs)
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        self.write_half.is_write_vectored()
+    }
+}
--- a/crates/exchange/src/read_request.rs
+++ b/crates/exchange/src/read_request.rs
@@ -1,4 +1,4 @@
-//! Takes a caller's request in, whole.
+//! Reads complete requests of callers.
 
 use std::io;
 use std::time::Duration;
@@ -11,68 +11,68 @@
 use shallotfork_types::{Bytes as Size, ServiceName};
 
 use crate::body_budget::BodyBudget;
+use crate::body_buffer::{BodyBuffer, BodyBufferError};
 use crate::digest::{DigestCheck, check_digest};
 use crate::discard::{DiscardLimits, discard};
-use crate::gather::{Gather, GatherError};
 use crate::headers::{ControlHeaders, strip_hop_by_hop};
-use crate::refusal::Rejection;
+use crate::rejection::Rejection;
 
 const ROOT: &str = "/";
 
-/// What one caller's body may take.
+/// Limits for the body of a single request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BodyLimits {
-    /// The largest body, in bytes.
+    /// The maximum size of the body.
     pub body_max: Size,
-    /// The longest time between the end of the headers and the end of the body.
+    /// The timeout for receiving the body, starting at the end of the headers.
     pub body_timeout: Duration,
 }
 
 /// A caller's request with its complete body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BufferedRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// Path and query as asked.
+    /// The path and query as requested.
     pub path_and_query: PathAndQuery,
-    /// The service, from `Host` or `:authority`.
+    /// The service named by `Host` or `:authority`.
     pub service: ServiceName,
-    /// All headers but the hop-by-hop ones and those meant for the system alone.
+    /// All headers except hop-by-hop headers and those addressed to the entry alone.
     pub headers: HeaderMap,
-    /// What the caller asks of the system itself.
+    /// The control headers, which are addressed to the entry.
     pub control: ControlHeaders,
-    /// The body, decoded from its chunks.
+    /// The body, without the chunked transfer encoding.
     pub body: Bytes,
 }
 
-/// Reads `request` to its end, within `limits` and what `budget` has left.
+/// Reads `request` to its end, within `limits` and the rest of `budget`.
 ///
 /// # Errors
-/// The refusal to answer with, when the request is malformed, too large, too slow or incomplete.
-/// No target has seen any of it then.
+/// The rejection to answer with, if the request is malformed, too large, too slow or incomplete.
+/// No part of it has been sent to a target then.
 pub async fn read_request(
     request: poem::Request,
     limits: &BodyLimits,
     budget: &BodyBudget,
 ) -> Result<BufferedRequest, Rejection> {
     let (parts, body) = request.into_parts();
-    let mut pieces = Box::pin(body.into_bytes_stream());
-    // Reading the body would tell a caller who waits for 100 Continue to send it.
-    let waits = parts.headers.contains_key(EXPECT);
-    let read = read_parts(parts, &mut pieces, limits, budget).await;
-    let has_ended =
+    let mut chunks = Box::pin(body.into_bytes_stream());
+    // Reading the body would send 100 Continue, which asks a waiting caller to send it.
+    let expects_continue = parts.headers.contains_key(EXPECT);
+    let read = read_parts(parts, &mut chunks, limits, budget).await;
+    let is_fully_read =
         matches!(read, Ok(_) | Err(Rejection::BodyTimeout { .. } | Rejection::BodyIncomplete));
-    if !has_ended && !waits {
+    if !is_fully_read && !expects_continue {
         let size_max_bytes = limits.body_max.value();
         let limits = DiscardLimits { size_max_bytes, timeout: limits.body_timeout };
-        discard(pieces, limits, budget.discards());
+        discard(chunks, limits, budget.discard_permits());
     }
     read
 }
 
 async fn read_parts(
     parts: poem::RequestParts,
-    pieces: &mut (impl Stream<Item = io::Result<Bytes>> + Unpin),
+    chunks: &mut (impl Stream<Item = io::Result<Bytes>> + Unpin),
     limits: &BodyLimits,
     budget: &BodyBudget,
 ) -> Result<BufferedRequest, Rejection> {
@@ -82,8 +82,8 @@
     let service = service_of(&parts.uri, &headers)?;
     set_host(&parts.uri, &mut headers)?;
     let control = ControlHeaders::take(&mut headers)?;
-    let gathering = gather(pieces, limits, budget);
-    let body = tokio::time::timeout(limits.body_timeout, gathering)
+    let reading = read_body(chunks, limits, budget);
+    let body = tokio::time::timeout(limits.body_timeout, reading)
         .await
         .map_err(|_| Rejection::BodyTimeout { limit: limits.body_timeout })??;
     check_body(&headers, &body)?;
@@ -108,8 +108,8 @@
     Ok(())
 }
 
-/// Refuses a message with two lengths (RFC 9112, 6.1), by which a request can be hidden inside
-/// another one: the next hop might go by the other length.
+/// Rejects a message with two lengths (RFC 9112, 6.1). They allow request smuggling, since the next
+/// hop might use the other length.
 fn check_framing(headers: &HeaderMap, limits: &BodyLimits) -> Result<(), Rejection> {
     let mut lengths = headers.get_all(CONTENT_LENGTH).iter();
     let Some(length) = lengths.next() else {
@@ -128,10 +128,11 @@
     Ok(())
 }
 
-/// RFC 9112, 3.2.2: the authority of an absolute request target goes before `Host`.
+/// Returns the service that a request names. The authority of an absolute request target takes
+/// precedence over `Host` (RFC 9112, 3.2.2).
 fn service_of(uri: &Uri, headers: &HeaderMap) -> Result<ServiceName, Rejection> {
     if let Some(authority) = uri.authority() {
-        return service_named(authority.host());
+        return parse_service(authority.host());
     }
     let mut hosts = headers.get_all(HOST).iter();
     let Some(host) = hosts.next() else {
@@ -142,11 +143,11 @@
     }
     let text = host.to_str().unwrap_or_default();
     let name = text.rsplit_once(':').map_or(text, |(name, _port)| name);
-    service_named(name)
+    parse_service(name)
 }
 
-/// HTTP/2 sends no `Host`, and an absolute request target overrides it; the target is told the
-/// host that the caller meant.
+/// Sets `Host` from the URI's authority, so that the target receives the host that the caller
+/// meant. HTTP/2 sends no `Host`, and an absolute request target overrides it.
 fn set_host(uri: &Uri, headers: &mut HeaderMap) -> Result<(), Rejection> {
     let Some(authority) = uri.authority() else {
         return Ok(());
@@ -161,24 +162,24 @@
     Ok(())
 }
 
-fn service_named(name: &str) -> Result<ServiceName, Rejection> {
+fn parse_service(name: &str) -> Result<ServiceName, Rejection> {
     name.parse().map_err(|error| Rejection::BadHost { reason: format!("{error}") })
 }
 
-async fn gather(
-    pieces: &mut (impl Stream<Item = io::Result<Bytes>> + Unpin),
+async fn read_body(
+    chunks: &mut (impl Stream<Item = io::Result<Bytes>> + Unpin),
     limits: &BodyLimits,
     budget: &BodyBudget,
 ) -> Result<Bytes, Rejection> {
-    let mut gather = Gather::new(limits.body_max.value(), budget.permit());
-    while let Some(piece) = pieces.next().await {
-        let piece = piece.map_err(|_| Rejection::BodyIncomplete)?;
-        gather.push(piece).map_err(|error| match error {
-            GatherError::TooLarge => Rejection::BodyTooLarge { limit: limits.body_max },
-            GatherError::BudgetFull => Rejection::BudgetFull,
+    let mut buffer = BodyBuffer::new(limits.body_max.value(), budget.permit());
+    while let Some(chunk) = chunks.next().await {
+        let chunk = chunk.map_err(|_| Rejection::BodyIncomplete)?;
+        buffer.push(chunk).map_err(|error| match error {
+            BodyBufferError::TooLarge => Rejection::BodyTooLarge { limit: limits.body_max },
+            BodyBufferError::BudgetFull => Rejection::BudgetFull,
         })?;
     }
-    Ok(gather.finish())
+    Ok(buffer.finish())
 }
 
 fn check_body(headers: &HeaderMap, body: &Bytes) -> Result<(), Rejection> {
--- a/crates/exchange/src/refusal.rs
+++ b/crates/exchange/src/rejection.rs
@@ -1,4 +1,4 @@
-//! Requests that are refused before any target sees them.
+//! Rejections of requests before any byte is sent to a target.
 
 use std::time::Duration;
 
@@ -9,62 +9,63 @@
 
 use crate::problem::Problem;
 
-/// Advice to a caller that meets a full process; long enough for most bodies to be done.
+/// Retry delay for callers when the body budget is exhausted; long enough for most of the bodies in
+/// progress to be finished.
 const BUDGET_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Why a caller's request was not taken; no target has seen a byte of it.
+/// Why a caller's request was rejected; no byte of it has been sent to a target.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Rejection {
-    /// `Host` or `:authority` is missing or names no service.
+    /// `Host` or `:authority` is missing or is not a service name.
     #[error("the host names no service: {reason}")]
     BadHost {
-        /// What is wrong with it.
+        /// Why the host is invalid.
         reason: String,
     },
-    /// A header of the system or of message framing can't be used.
+    /// A control header or a message framing header is invalid.
     #[error("header {name}: {reason}")]
     BadHeader {
-        /// The header.
+        /// The name of the header.
         name: String,
-        /// What is wrong with it.
+        /// Why the header is invalid.
         reason: String,
     },
-    /// `CONNECT`, or a switch of protocols, which an HTTP intermediary of this kind can't do.
+    /// `CONNECT`, or a protocol switch, which this kind of HTTP intermediary doesn't support.
     #[error("method {method} is not served")]
     BadMethod {
         /// The method.
         method: String,
     },
-    /// The body is over the limit for one body.
+    /// The body exceeds the size limit of a single body.
     #[error("the body is larger than {limit}")]
     BodyTooLarge {
-        /// The limit.
+        /// The maximum size.
         limit: Bytes,
     },
     /// The body did not arrive in time.
     #[error("the body did not arrive within {} ms", limit.as_millis())]
     BodyTimeout {
-        /// The time allowed.
+        /// The timeout.
         limit: Duration,
     },
-    /// The connection ended inside the body, or the body's framing is broken.
+    /// The connection ended within the body, or the body's framing is invalid.
     #[error("the body is incomplete")]
     BodyIncomplete,
-    /// The body is not the one its `Content-Digest` was made from.
+    /// The body does not match its `Content-Digest`.
     #[error("the body differs from its Content-Digest")]
     DigestMismatch,
-    /// All memory for bodies is in use.
+    /// The process's memory budget for bodies is exhausted.
     #[error("too many bodies are held at the moment")]
     BudgetFull,
 }
 
 impl Rejection {
-    /// A header that can't be used.
+    /// Creates a rejection because of an invalid header.
     pub fn bad_header(name: &HeaderName, reason: &str) -> Self {
         Self::BadHeader { name: name.to_string(), reason: reason.to_owned() }
     }
 
-    /// The HTTP status for the caller.
+    /// Returns the HTTP status for the caller.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::BadHost { .. }
@@ -78,13 +79,13 @@
         }
     }
 
-    /// The answer for the caller; the verdict is `not-run`.
+    /// Returns the answer for the caller; its verdict is `not-run`.
     pub fn problem(&self) -> Problem {
         let problem = Problem::new(self.status(), Verdict::NotRun).with_detail(&self.to_string());
         match self {
             Self::BudgetFull => problem.with_retry_after(BUDGET_RETRY_AFTER),
-            // The rest of the body may still be on its way; a connection that is kept would take
-            // it for the next request.
+            // The rest of the body may still arrive; on a connection that stays open it would be
+            // read as the next request.
             Self::BodyTooLarge { .. } | Self::BodyTimeout { .. } | Self::BodyIncomplete => {
                 problem.with_close()
             }
--- a/crates/exchange/src/serve.rs
+++ b/crates/exchange/src/serve.rs
@@ -1,4 +1,4 @@
-//! One HTTP port: bounded connections, bounded waits, and a stop that cuts off no answer.
+//! Serves an HTTP port with limits on connections and timeouts, and with a graceful stop.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -27,23 +27,23 @@
 use tokio_util::task::TaskTracker;
 
 use crate::activity::{Activity, TrackedStream};
-use crate::ahead::ReadAhead;
-use crate::early::{ArrivedAt, Awaited, EarlyRequests};
-use crate::presence::CallerConnection;
+use crate::caller_connection::CallerConnection;
+use crate::pipeline::{AbortOnDrop, ArrivedAt, PipelinedRequests};
+use crate::read_ahead::ReadAhead;
 use crate::serve_config::ServeConfig;
 
-/// Wait after a failed accept, which mostly means that the process is out of descriptors; without
-/// it the loop would spin until one is free.
-const ACCEPT_RETRY_WAIT: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, which mostly means that the process is out of file descriptors.
+/// Without the delay the loop would spin until one is free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 type AnyEndpoint = Arc<dyn DynEndpoint<Output = poem::Response>>;
 
-/// When a port can't be served.
+/// Failure to serve a port.
 #[derive(Debug, Error)]
 #[error("can't serve the port")]
 pub struct ServeError(#[from] io::Error);
 
-/// Watches and stops a port that is being served; clones act on the same port.
+/// Monitors and stops a served port; clones refer to the same port.
 #[derive(Debug, Clone, Default)]
 pub struct ServeControl {
     shared: Arc<Shared>,
@@ -52,7 +52,7 @@
 #[derive(Debug, Default)]
 struct Shared {
     closing: AtomicBool,
-    /// How often connections were asked to be made anew.
+    /// Number of calls to [`ServeControl::renew_connections`].
     renewals: AtomicU64,
     stop: CancellationToken,
     connections: AtomicUsize,
@@ -60,40 +60,40 @@
 }
 
 impl ServeControl {
-    /// Control of a port that is not served yet.
+    /// Creates the control of a port that is not served yet.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// From now on each HTTP/1 answer says `Connection: close`, so that callers which keep a
-    /// connection open turn to another entry before this one stops. Requests that were begun behind
-    /// the answered one are answered first.
+    /// Adds `Connection: close` to HTTP/1 answers from now on, so that callers with open
+    /// connections move to another entry before this one stops. Pipelined requests that have
+    /// already started are answered first.
     pub fn announce_close(&self) {
         self.shared.closing.store(true, Ordering::Relaxed);
     }
 
-    /// Asks the callers of all connections that are open now to make new ones: the next answer on
-    /// each says `Connection: close`, unless further requests wait behind it.
+    /// Makes callers replace all connections that are open now: the next HTTP/1 answer on each has
+    /// `Connection: close`, unless further requests wait behind it.
     ///
-    /// A caller that keeps its connections stays with an entry for as long as that entry is named
-    /// to it. When others of the named entries change, callers of those choose anew among all, so
-    /// that the entry which stays ends up with more than its part.
+    /// A caller with an open connection stays with its entry as long as that entry is advertised to
+    /// it. When other advertised entries change, their callers choose again among all entries, and
+    /// the unchanged entry would end up with more than its share of callers.
     pub fn renew_connections(&self) {
         self.shared.renewals.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Takes no further connection or request, and lets those in flight end.
+    /// Stops accepting connections and requests; requests in flight are completed.
     pub fn stop(&self) {
         self.announce_close();
         self.shared.stop.cancel();
     }
 
-    /// Connections open now.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         self.shared.connections.load(Ordering::Relaxed)
     }
 
-    /// Requests whose answer is not made yet.
+    /// Returns the number of requests without a complete answer.
     pub fn in_flight(&self) -> usize {
         self.shared.in_flight.load(Ordering::Relaxed)
     }
@@ -109,11 +109,11 @@
 
 /// Serves HTTP/1.1 and HTTP/2 on `listener` until stopped and all connections have ended.
 ///
-/// poem's own server sets no limit on the time in which headers arrive, nor on their size, so
-/// that slow senders could hold connections for ever; its endpoints run here on hyper directly.
+/// poem's endpoints run directly on hyper, because poem's own server limits neither the time for
+/// receiving headers nor their size, and slow senders could occupy connections forever.
 ///
 /// # Errors
-/// When the listener's address can't be read.
+/// If the listener's address can't be read.
 pub async fn serve<E>(
     listener: TcpListener,
     endpoint: E,
@@ -127,22 +127,23 @@
     serve_pipelined(listener, endpoint, config, control, Arc::new(|_| false)).await
 }
 
-/// Tells from its head whether a request without a body may be begun before the one before it on
-/// its connection is answered. Such a request may run although its answer is never sent, so that
-/// only idempotent ones may.
+/// Decides by its head whether a request without a body may start before the previous request on
+/// its connection is answered.
+///
+/// Such a request may run although its answer is never sent, so only idempotent ones may start.
 pub type PipelineFn = Arc<dyn Fn(&http::request::Parts) -> bool + Send + Sync>;
 
-/// Like [`serve`], and begins requests that wait behind another one on their connection. Answers
-/// leave in the order of the requests all the same.
+/// Like [`serve`], but starts pipelined requests before their turn if `may_start_early` allows it.
+/// Answers are still sent in the order of the requests.
 ///
 /// # Errors
-/// As for [`serve`].
+/// If the listener's address can't be read.
 pub async fn serve_pipelined<E>(
     listener: TcpListener,
     endpoint: E,
     config: ServeConfig,
     control: ServeControl,
-    early: PipelineFn,
+    may_start_early: PipelineFn,
 ) -> Result<(), ServeError>
 where
     E: IntoEndpoint,
@@ -150,21 +151,21 @@
 {
     let local = LocalAddr(Addr::SocketAddr(listener.local_addr()?));
     let endpoint: AnyEndpoint = Arc::new(ToDynEndpoint(endpoint.into_endpoint().map_to_response()));
-    let slots = Arc::new(Semaphore::new(config.connections_max));
+    let permits = Arc::new(Semaphore::new(config.connections_max));
     let tasks = TaskTracker::new();
     let stop = control.shared.stop.clone();
-    while let Some((stream, remote, slot)) = accept(&listener, &slots, &stop).await {
+    while let Some((stream, remote, permit)) = accept(&listener, &permits, &stop).await {
         let connection = Connection {
             endpoint: Arc::clone(&endpoint),
             local: local.clone(),
             remote,
             config,
             control: control.clone(),
-            early: Arc::clone(&early),
-            opened_after: control.renewals(),
-            begun: Arc::new(EarlyRequests::default()),
+            may_start_early: Arc::clone(&may_start_early),
+            renewals_at_open: control.renewals(),
+            pipelined: Arc::new(PipelinedRequests::default()),
         };
-        tasks.spawn(connection.run(stream, slot));
+        tasks.spawn(connection.run(stream, permit));
     }
     drop(listener);
     tasks.close();
@@ -172,27 +173,27 @@
     Ok(())
 }
 
-/// The next connection, once there is a slot for it; `None` after a stop.
+/// Accepts the next connection once the connection limit permits it; returns `None` after a stop.
 async fn accept(
     listener: &TcpListener,
-    slots: &Arc<Semaphore>,
+    permits: &Arc<Semaphore>,
     stop: &CancellationToken,
 ) -> Option<(TcpStream, RemoteAddr, OwnedSemaphorePermit)> {
-    let accepting = async {
-        let slot = Arc::clone(slots).acquire_owned().await.ok()?;
+    let accept_next = async {
+        let permit = Arc::clone(permits).acquire_owned().await.ok()?;
         loop {
             match listener.accept().await {
                 Ok((stream, address)) => {
-                    return Some((stream, RemoteAddr(Addr::SocketAddr(address)), slot));
+                    return Some((stream, RemoteAddr(Addr::SocketAddr(address)), permit));
                 }
-                Err(_) => tokio::time::sleep(ACCEPT_RETRY_WAIT).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     };
     tokio::select! {
         biased;
         () = stop.cancelled() => None,
-        accepted = accepting => accepted,
+        accepted = accept_next => accepted,
     }
 }
 
@@ -202,72 +203,77 @@
     remote: RemoteAddr,
     config: ServeConfig,
     control: ServeControl,
-    early: PipelineFn,
-    /// Renewals that were asked for before this connection was opened.
-    opened_after: u64,
-    begun: Arc<EarlyRequests>,
+    may_start_early: PipelineFn,
+    /// Value of the renewal counter when this connection was opened.
+    renewals_at_open: u64,
+    pipelined: Arc<PipelinedRequests>,
 }
 
 impl Connection {
-    async fn run(self, stream: TcpStream, _slot: OwnedSemaphorePermit) {
-        let _open = Counted::new(&self.control.shared, |shared| &shared.connections);
+    async fn run(self, stream: TcpStream, _permit: OwnedSemaphorePermit) {
+        let _open_connection = CountGuard::new(&self.control.shared, |shared| &shared.connections);
         if stream.set_nodelay(true).is_err() {
             return;
         }
         let activity = Arc::new(Activity::new());
-        let (stream, ahead) = ReadAhead::new(stream);
+        let (stream, read_ahead) = ReadAhead::new(stream);
         let io = TokioIo::new(TrackedStream::new(stream, Arc::clone(&activity)));
-        let presence = ahead.presence();
-        let service = service_fn(|request| self.answer(request, &activity, &presence));
+        let caller = read_ahead.caller_connection();
+        let service = service_fn(|request| self.handle(request, &activity, &caller));
         let builder = builder(&self.config);
         let mut connection = pin!(builder.serve_connection(io, service));
         let ServeConfig { header_timeout, idle_timeout, .. } = self.config;
-        let mut gone = pin!(self.caller_gone(&ahead, &activity));
-        let idle = pin!(activity.idle_for(header_timeout, idle_timeout));
+        let mut disconnect = pin!(self.wait_for_disconnect(&read_ahead, &activity));
+        let idle = pin!(activity.wait_until_idle(header_timeout, idle_timeout));
         tokio::select! {
             _ = connection.as_mut() => return,
             () = idle => return,
-            () = gone.as_mut() => return,
+            () = disconnect.as_mut() => return,
             () = self.control.shared.stop.cancelled() => {}
         }
         connection.as_mut().graceful_shutdown();
-        let idle = pin!(activity.idle_for(header_timeout, idle_timeout));
+        let idle = pin!(activity.wait_until_idle(header_timeout, idle_timeout));
         tokio::select! {
             _ = connection => {}
             () = idle => {}
-            () = gone => {}
+            () = disconnect => {}
         }
     }
 
-    /// Reads ahead, and ends when the caller has left. What it has sent and nobody has begun is not
-    /// begun any more.
-    async fn caller_gone(&self, ahead: &ReadAhead, activity: &Activity) {
-        let presence = ahead.presence();
-        ahead.drive(|number, head| self.found_ahead(number, head, &presence)).await;
-        if !activity.is_busy() && !ahead.holds_bytes() {
-            // The library sees the end by itself.
+    /// Reads ahead until the caller has disconnected, after which none of its remaining requests is
+    /// started.
+    async fn wait_for_disconnect(&self, read_ahead: &ReadAhead, activity: &Activity) {
+        let caller = read_ahead.caller_connection();
+        read_ahead.drive(|index, head| self.handle_pipelined_head(index, head, &caller)).await;
+        if !activity.is_busy() && !read_ahead.has_buffered_bytes() {
+            // The HTTP library detects the end of the connection by itself.
             std::future::pending::<()>().await;
         }
     }
 
-    fn found_ahead(&self, number: u64, head: http::request::Parts, presence: &CallerConnection) {
-        self.begun.arrived(number);
-        // Its answer would not be sent, although it had reached a target.
-        if self.is_closing() || !(self.early)(&head) {
+    fn handle_pipelined_head(
+        &self,
+        index: u64,
+        head: http::request::Parts,
+        caller: &CallerConnection,
+    ) {
+        self.pipelined.record_arrival(index);
+        // On a closing connection the request would reach a target, but its answer would be lost.
+        if self.is_closing() || !(self.may_start_early)(&head) {
             return;
         }
-        self.begun.begin(number, || {
+        self.pipelined.start(index, || {
             let endpoint = Arc::clone(&self.endpoint);
             let mut request = self.poem_request(http::Request::from_parts(head, ()));
             request.set_body(poem::Body::empty());
-            request.extensions_mut().insert(presence.clone());
-            tokio::spawn(respond(endpoint, request, presence.clone()))
+            request.extensions_mut().insert(caller.clone());
+            tokio::spawn(respond(endpoint, request, caller.clone()))
         });
     }
 
-    /// Whether the connection is closed as soon as nothing that was begun is unanswered.
+    /// Returns whether the connection closes once every started request has been answered.
     fn is_closing(&self) -> bool {
-        self.control.is_closing() || self.control.renewals() > self.opened_after
+        self.control.is_closing() || self.control.renewals() > self.renewals_at_open
     }
 
     fn poem_request(&self, request: http::Request<()>) -> poem::Request {
@@ -279,60 +285,60 @@
         request
     }
 
-    fn answer(
+    fn handle(
         &self,
         request: http::Request<Incoming>,
         activity: &Arc<Activity>,
-        presence: &CallerConnection,
+        caller: &CallerConnection,
     ) -> impl Future<Output = Result<http::Response<BoxBody<Bytes, io::Error>>, Infallible>> + Send + use<>
     {
         let endpoint = Arc::clone(&self.endpoint);
         let control = self.control.clone();
-        let in_flight = Counted::new(&control.shared, |shared| &shared.in_flight);
-        let busy = activity.begin();
+        let in_flight = CountGuard::new(&control.shared, |shared| &shared.in_flight);
+        let in_progress = activity.start_request();
         let version = request.version();
-        let turn = self.begun.hand_over();
+        let dispatched = self.pipelined.dispatch_next();
         let mut request = request;
-        if let Some(arrived) = turn.arrived {
-            request.extensions_mut().insert(ArrivedAt(arrived));
+        if let Some(arrived_at) = dispatched.arrived_at {
+            request.extensions_mut().insert(ArrivedAt(arrived_at));
         }
-        request.extensions_mut().insert(presence.clone());
-        let presence = presence.clone();
+        request.extensions_mut().insert(caller.clone());
+        let caller = caller.clone();
         let request = (request, self.local.clone(), self.remote.clone(), Scheme::HTTP).into();
-        let begun = turn.begun.map(Awaited);
-        let (opened_after, waiting) = (self.opened_after, Arc::clone(&self.begun));
+        let started = dispatched.started.map(AbortOnDrop);
+        let (renewals_at_open, pipelined) = (self.renewals_at_open, Arc::clone(&self.pipelined));
         async move {
-            let mut response = match begun {
-                Some(mut begun) => early_answer(&mut begun).await,
-                None => respond(endpoint, request, presence).await,
+            let mut response = match started {
+                Some(mut started) => started_answer(&mut started).await,
+                None => respond(endpoint, request, caller).await,
             };
-            let leaves = control.is_closing() && !waiting.any_begun();
-            let renewed = control.renewals() > opened_after && !waiting.any();
-            if (leaves || renewed) && version < Version::HTTP_2 {
+            let is_close_due = control.is_closing() && !pipelined.has_started();
+            let is_renewal_due = control.renewals() > renewals_at_open && !pipelined.has_waiting();
+            if (is_close_due || is_renewal_due) && version < Version::HTTP_2 {
                 response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            drop((in_flight, busy));
+            drop((in_flight, in_progress));
             Ok(response.into())
         }
     }
 }
 
-/// The endpoint's answer, unless nobody is there to take it.
+/// Runs the endpoint, unless the caller has disconnected.
 async fn respond(
     endpoint: AnyEndpoint,
     request: poem::Request,
-    presence: CallerConnection,
+    caller: CallerConnection,
 ) -> poem::Response {
-    if presence.is_closed() {
+    if caller.is_closed() {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     }
     endpoint.get_response(request).await
 }
 
-async fn early_answer(begun: &mut Awaited) -> poem::Response {
-    match (&mut begun.0).await {
+async fn started_answer(task: &mut AbortOnDrop) -> poem::Response {
+    match (&mut task.0).await {
         Ok(response) => response,
-        // Its task has panicked; a request that the library hands over would end its connection.
+        // The task has panicked. Without its own task, the panic would end the connection.
         Err(_) => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
     }
 }
@@ -353,20 +359,20 @@
     builder
 }
 
-/// Counts one more as long as it lives.
-struct Counted {
+/// Increments a counter until it is dropped.
+struct CountGuard {
     shared: Arc<Shared>,
     counter: fn(&Shared) -> &AtomicUsize,
 }
 
-impl Counted {
+impl CountGuard {
     fn new(shared: &Arc<Shared>, counter: fn(&Shared) -> &AtomicUsize) -> Self {
         counter(shared).fetch_add(1, Ordering::Relaxed);
         Self { shared: Arc::clone(shared), counter }
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         (self.counter)(&self.shared).fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/exchange/src/serve_config.rs
+++ b/crates/exchange/src/serve_config.rs
@@ -10,20 +10,20 @@
 const DEFAULT_HEADER_MAX: Bytes = Bytes::from_kib(64);
 const DEFAULT_STREAMS_MAX: u32 = 200;
 
-/// What one port may take in connections, time and header bytes.
+/// Limits of a served port on connections, timeouts and headers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServeConfig {
-    /// Connections served at one time; further ones wait in the kernel. 10,000 by default.
+    /// The maximum number of open connections; further ones wait in the kernel. 10,000 by default.
     pub connections_max: usize,
-    /// The longest time from a connection's opening to its first request's headers, and for the
-    /// headers of each HTTP/1 request; 10 s by default.
+    /// The timeout from the opening of a connection to the headers of its first request, and for
+    /// the headers of each HTTP/1 request; 10 s by default.
     pub header_timeout: Duration,
-    /// A connection with no request in progress and no byte written is closed after this time;
+    /// The time without a request in progress or a written byte after which a connection is closed;
     /// 60 s by default.
     pub idle_timeout: Duration,
-    /// The largest request head; 64 KiB by default.
+    /// The maximum size of a request head; 64 KiB by default.
     pub header_max: Bytes,
-    /// HTTP/2 requests in progress on one connection; 200 by default.
+    /// The maximum number of concurrent HTTP/2 requests on a connection; 200 by default.
     pub streams_max: u32,
 }
 
--- a/crates/exchange/src/link.rs
+++ b/crates/exchange/src/target_connection.rs
@@ -1,4 +1,4 @@
-//! One kept HTTP/1.1 connection to a target.
+//! A reusable HTTP/1.1 connection to a target.
 
 use std::io;
 use std::time::Duration;
@@ -16,60 +16,60 @@
 use tokio::time::Instant;
 
 use crate::attempt::FailureCause;
-use crate::link_config::ConnectionConfig;
+use crate::connection_config::ConnectionConfig;
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const TIMEOUT_PARAMETER: &str = "timeout=";
 
-/// A connection that carries one request at a time.
+/// A connection that carries one request at a time and is owned by the attempt that uses it.
 ///
-/// It is owned by the attempt that uses it. Dropping it closes the connection, so that an answer
-/// which comes late has no reader, and the target sees that nobody waits.
+/// Dropping it closes the connection: a late answer is never read, and the target can detect that
+/// the request has been abandoned.
 #[derive(Debug)]
-pub(crate) struct Link {
+pub(crate) struct TargetConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
-    used_at: Instant,
+    last_used_at: Instant,
     idle_timeout: Duration,
 }
 
-/// Why a request got no answer's head.
+/// Why no head of an answer was received.
 #[derive(Debug)]
 pub(crate) enum SendError {
-    /// No byte of it has left.
+    /// No byte of the request has been sent.
     Unsent(Box<Request<Full<Bytes>>>),
-    /// It may have reached the target.
+    /// The request may have reached the target.
     Sent(FailureCause),
 }
 
-impl Link {
-    /// Opens a connection.
+impl TargetConnection {
+    /// Opens a connection to the target at `endpoint`.
     pub(crate) async fn open(endpoint: Endpoint, config: &ConnectionConfig) -> io::Result<Self> {
         let connecting = TcpStream::connect(endpoint.address());
         let stream = tokio::time::timeout(config.connect_timeout, connecting)
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         stream.set_nodelay(true)?;
-        watch_acknowledgements(&stream, config.unacknowledged_timeout)?;
+        set_unacknowledged_timeout(&stream, config.unacknowledged_timeout)?;
         let (sender, connection) =
             handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
         let driver = tokio::spawn(async move {
-            // The attempt that uses the connection learns of its end from its own future.
+            // The attempt that uses the connection gets its errors from the future of the request.
             let _ended = connection.await;
         });
-        Ok(Self { sender, driver, used_at: Instant::now(), idle_timeout: config.idle_timeout })
+        Ok(Self { sender, driver, last_used_at: Instant::now(), idle_timeout: config.idle_timeout })
     }
 
-    /// Whether a request can be sent on it now: nothing is left over from the one before, and the
-    /// target has neither closed it nor is about to.
+    /// Returns whether a request can be sent now: nothing is left over from the previous request,
+    /// and the target neither has closed the connection nor is about to.
     pub(crate) fn is_usable(&self, idle_timeout: Duration) -> bool {
-        let idle = self.used_at.elapsed();
+        let idle = self.last_used_at.elapsed();
         self.sender.is_ready()
             && !self.driver.is_finished()
             && idle < self.idle_timeout.min(idle_timeout)
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the answer.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -82,36 +82,45 @@
         })
     }
 
-    /// Takes the target's word on how long it keeps the connection; `false` when it closes it.
-    pub(crate) fn keep(&mut self, headers: &HeaderMap, config: &ConnectionConfig) -> bool {
-        self.used_at = Instant::now();
-        if let Some(timeout) = keep_alive(headers) {
+    /// Applies the target's reported keep-alive timeout; returns `false` if the target closes the
+    /// connection.
+    pub(crate) fn update_keep_alive(
+        &mut self,
+        headers: &HeaderMap,
+        config: &ConnectionConfig,
+    ) -> bool {
+        self.last_used_at = Instant::now();
+        if let Some(timeout) = keep_alive_timeout(headers) {
             self.idle_timeout =
                 timeout.saturating_sub(config.keep_alive_margin).min(config.idle_timeout);
         }
-        !says_close(headers)
+        !has_connection_close(headers)
     }
 }
 
-impl Drop for Link {
+impl Drop for TargetConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
-/// A peer that has gone silent acknowledges nothing. Without the limit, a request sent to it would
-/// wait for the kernel's own retries, a quarter of an hour.
-fn watch_acknowledgements(stream: &TcpStream, limit: Duration) -> io::Result<()> {
-    let limit_ms = u32::try_from(limit.as_millis()).unwrap_or(u32::MAX);
-    rustix::net::sockopt::set_tcp_user_timeout(stream, limit_ms).map_err(io::Error::from)
+/// Limits the time for which sent bytes may stay unacknowledged.
+///
+/// Without the limit, a request to a target that no longer responds would wait for the kernel's
+/// retransmissions, which take a quarter of an hour.
+fn set_unacknowledged_timeout(stream: &TcpStream, timeout: Duration) -> io::Result<()> {
+    let timeout_ms = u32::try_from(timeout.as_millis()).unwrap_or(u32::MAX);
+    rustix::net::sockopt::set_tcp_user_timeout(stream, timeout_ms).map_err(io::Error::from)
 }
 
-fn says_close(headers: &HeaderMap) -> bool {
+fn has_connection_close(headers: &HeaderMap) -> bool {
     let values = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
-    values.flat_map(|value| value.split(',')).any(|word| word.trim().eq_ignore_ascii_case("close"))
+    values
+        .flat_map(|value| value.split(','))
+        .any(|token| token.trim().eq_ignore_ascii_case("close"))
 }
 
-fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let timeout = text.split(',').find_map(|part| part.trim().strip_prefix(TIMEOUT_PARAMETER))?;
     timeout.trim().parse().ok().map(Duration::from_secs)
