--- a/crates/exchange/tests/cuts.rs
+++ b/crates/exchange/tests/cuts.rs
@@ -1,4 +1,4 @@
-//! Connections that targets cut, at every byte.
+//! HTTP/1.1 connections that a target closes after every possible byte.
 
 mod support;
 
@@ -11,15 +11,15 @@
     b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nmill\r\n5\r\ned: 2\r\n0\r\n\r\n";
 const ORDER: &[u8] = b"{\"order\":\"saltbush pepper\",\"drums\":2}";
 
-/// A caller lodges an order. The target mills it, and crashes while it writes the answer.
-/// A second try would mill the order again, and half an answer would pass for a whole one.
+/// Guards against a duplicate run or a truncated answer when a target runs an order and crashes
+/// while it writes the answer.
 #[tokio::test]
-async fn an_answer_cut_at_any_byte_may_have_run_and_is_asked_once() {
+async fn truncated_answer_may_have_run_and_is_not_retried() {
     for answer in [ANSWER, CHUNKED] {
         for cut in 0..=answer.len() {
-            let target = RawTarget::start(move |_, mut wire| async move {
-                if wire.request().await.is_some() {
-                    wire.write(&answer[..cut]).await;
+            let target = RawTarget::start(move |_, mut connection| async move {
+                if connection.request().await.is_some() {
+                    connection.write(&answer[..cut]).await;
                 }
             })
             .await;
@@ -29,50 +29,58 @@
             let actual = exchange().send(attempt).await;
 
             if cut == answer.len() {
-                assert_eq!("milled: 2", actual.expect("a whole answer").body);
+                assert_eq!("milled: 2", actual.expect("a complete answer").body);
             } else {
                 let expected = Verdict::MayHaveRun;
-                assert_eq!(expected, actual.expect_err("a cut answer").verdict(), "cut at {cut}");
+                assert_eq!(
+                    expected,
+                    actual.expect_err("a truncated answer").verdict(),
+                    "cut at {cut}"
+                );
             }
-            assert_eq!((1, 1), (target.seen.connections(), target.seen.requests()), "cut at {cut}");
+            assert_eq!(
+                (1, 1),
+                (target.stats.connections(), target.stats.requests()),
+                "cut at {cut}"
+            );
         }
     }
 }
 
-/// A target crashes while an order arrives. Bytes that it never read may still lie in its
-/// kernel, so that "not run" may only be said when none was written at all.
+/// Guards against a wrong verdict when a target crashes while it receives an order. The target's
+/// kernel may hold unread bytes, so the verdict is "not run" only if no byte was written.
 #[tokio::test]
-async fn a_request_cut_at_any_byte_is_not_sent_again() {
-    let whole = request_size().await;
-    for cut in 0..whole {
+async fn truncated_request_is_not_resent() {
+    let size = request_size().await;
+    for cut in 0..size {
         for resets in [false, true] {
-            let target = RawTarget::start(move |_, mut wire| async move {
-                wire.bytes(cut).await;
+            let target = RawTarget::start(move |_, mut connection| async move {
+                connection.bytes(cut).await;
                 if resets {
-                    wire.reset();
+                    connection.reset();
                 }
             })
             .await;
             let attempt =
                 RequestBuilder::new(Method::POST).with_body(ORDER).attempt(target.target());
 
-            let actual = exchange().send(attempt).await.expect_err("a cut request").verdict();
+            let actual = exchange().send(attempt).await.expect_err("a truncated request").verdict();
 
             if cut > 0 {
                 assert_eq!(Verdict::MayHaveRun, actual, "cut at {cut}");
             }
-            assert_eq!(1, target.seen.connections(), "cut at {cut}");
+            assert_eq!(1, target.stats.connections(), "cut at {cut}");
         }
     }
 }
 
 async fn request_size() -> usize {
-    let target = RawTarget::start(|_, mut wire| async move {
-        wire.request().await;
-        wire.write(ANSWER).await;
+    let target = RawTarget::start(|_, mut connection| async move {
+        connection.request().await;
+        connection.write(ANSWER).await;
     })
     .await;
     let attempt = RequestBuilder::new(Method::POST).with_body(ORDER).attempt(target.target());
     exchange().send(attempt).await.expect("an answer");
-    target.seen.request_bytes()
+    target.stats.request_bytes()
 }
--- a/crates/exchange/tests/evidence.rs
+++ b/crates/exchange/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! Failures after a request was sent which prove that it did not run, and those which don't.
+//! Failures that prove that a request did not run, and failures that don't.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use http::{Method, StatusCode};
 use shallotfork_exchange::{AttemptFailure, FailureCause};
 use shallotfork_types::{Mono, Verdict};
-use support::{DEADLINE, RawTarget, RequestBuilder, Wire, exchange, exchange_with};
+use support::{DEADLINE, RawConnection, RawTarget, RequestBuilder, exchange, exchange_with};
 
 const ORDER: &[u8] = b"{\"drums\":2}";
 const SHED: &[u8] =
@@ -21,16 +21,18 @@
 const FRAME_GOAWAY: u8 = 7;
 const FLAG_ACK: u8 = 1;
 const PREFACE_BYTES: usize = 24;
-const FRAME_HEAD_BYTES: usize = 9;
+const FRAME_HEADER_BYTES: usize = 9;
 const REFUSED_STREAM: u32 = 7;
 const CANCEL: u32 = 8;
 const NO_ERROR: u32 = 0;
 const INTERNAL_ERROR: u32 = 2;
 
-async fn shed_with(published: Option<StatusCode>) -> Result<StatusCode, AttemptFailure> {
-    let target = RawTarget::start(|_, mut wire| async move {
-        wire.request().await;
-        wire.write(SHED).await;
+async fn send_to_shedding_target(
+    published: Option<StatusCode>,
+) -> Result<StatusCode, AttemptFailure> {
+    let target = RawTarget::start(|_, mut connection| async move {
+        connection.request().await;
+        connection.write(SHED).await;
     })
     .await;
     let address = target.target().with_shed_status(published);
@@ -38,101 +40,110 @@
     exchange().send(order.attempt(address)).await.map(|answer| answer.status)
 }
 
-/// An overloaded target answers 503. Only where its operators publish that 503 means "not
-/// started" may the caller be told so; elsewhere the answer is the target's own.
+/// Guards against a wrong "not run" verdict for a 503 answer. It means "not started" only if the
+/// target's operators publish it as the shed status; otherwise the answer is forwarded.
 #[tokio::test]
-async fn a_shed_status_is_evidence_only_where_it_is_published() {
+async fn only_published_shed_status_means_not_run() {
     let status = StatusCode::SERVICE_UNAVAILABLE;
-    let published = shed_with(Some(status)).await.expect_err("shed");
+    let published = send_to_shedding_target(Some(status)).await.expect_err("shed");
     let retry_after = Some(Duration::from_secs(2));
     assert_eq!(Verdict::NotRun, published.verdict());
     assert_eq!(&FailureCause::Shed { retry_after }, published.cause());
-    assert_eq!(Ok(status), shed_with(None).await);
+    assert_eq!(Ok(status), send_to_shedding_target(None).await);
 }
 
-async fn write_frame(wire: &mut Wire, kind: u8, flags: u8, stream: u32, payload: &[u8]) {
+async fn write_frame(
+    connection: &mut RawConnection,
+    kind: u8,
+    flags: u8,
+    stream: u32,
+    payload: &[u8],
+) {
     let size = u32::try_from(payload.len()).expect("small").to_be_bytes();
     let mut frame = vec![size[1], size[2], size[3], kind, flags];
     frame.extend(stream.to_be_bytes());
     frame.extend(payload);
-    wire.write(&frame).await;
+    connection.write(&frame).await;
 }
 
-/// Greets an HTTP/2 client and reads until its request's headers; gives the stream's number.
-async fn read_stream(wire: &mut Wire) -> u32 {
-    wire.bytes(PREFACE_BYTES).await;
-    write_frame(wire, FRAME_SETTINGS, 0, 0, &[]).await;
+/// Performs the HTTP/2 handshake, reads up to the headers of a request and returns its stream id.
+async fn read_stream(connection: &mut RawConnection) -> u32 {
+    connection.bytes(PREFACE_BYTES).await;
+    write_frame(connection, FRAME_SETTINGS, 0, 0, &[]).await;
     loop {
-        let head = wire.bytes(FRAME_HEAD_BYTES).await;
-        let size = u32::from_be_bytes([0, head[0], head[1], head[2]]);
-        wire.bytes(size as usize).await;
-        if head[3] == FRAME_SETTINGS && head[4] & FLAG_ACK == 0 {
-            write_frame(wire, FRAME_SETTINGS, FLAG_ACK, 0, &[]).await;
+        let header = connection.bytes(FRAME_HEADER_BYTES).await;
+        let size = u32::from_be_bytes([0, header[0], header[1], header[2]]);
+        connection.bytes(size as usize).await;
+        if header[3] == FRAME_SETTINGS && header[4] & FLAG_ACK == 0 {
+            write_frame(connection, FRAME_SETTINGS, FLAG_ACK, 0, &[]).await;
         }
-        if head[3] == FRAME_HEADERS {
-            return u32::from_be_bytes([head[5], head[6], head[7], head[8]]);
+        if header[3] == FRAME_HEADERS {
+            return u32::from_be_bytes([header[5], header[6], header[7], header[8]]);
         }
     }
 }
 
-/// How an HTTP/2 target ends a stream that it has read the headers of.
+/// How an HTTP/2 target ends a stream after it has read the headers.
 #[derive(Debug, Clone, Copy)]
-enum Ending {
+enum StreamEnd {
     Reset(u32),
     GoAway { streams_below: u32, reason: u32 },
     Close,
 }
 
-async fn failure_by(ending: Ending) -> (Verdict, usize) {
-    let target = RawTarget::start(move |_, mut wire| async move {
-        let stream = read_stream(&mut wire).await;
-        match ending {
-            Ending::Reset(reason) => {
-                write_frame(&mut wire, FRAME_RST_STREAM, 0, stream, &reason.to_be_bytes()).await;
-                wire.drain().await;
+async fn send_and_fail(end: StreamEnd) -> (Verdict, usize) {
+    let target = RawTarget::start(move |_, mut connection| async move {
+        let stream = read_stream(&mut connection).await;
+        match end {
+            StreamEnd::Reset(reason) => {
+                write_frame(&mut connection, FRAME_RST_STREAM, 0, stream, &reason.to_be_bytes())
+                    .await;
+                connection.drain().await;
             }
-            Ending::GoAway { streams_below, reason } => {
+            StreamEnd::GoAway { streams_below, reason } => {
                 let last = stream.saturating_sub(streams_below);
                 let payload = [last.to_be_bytes(), reason.to_be_bytes()].concat();
-                write_frame(&mut wire, FRAME_GOAWAY, 0, 0, &payload).await;
+                write_frame(&mut connection, FRAME_GOAWAY, 0, 0, &payload).await;
             }
-            Ending::Close => {}
+            StreamEnd::Close => {}
         }
     })
     .await;
     let address = target.target().with_http2(true);
     let order = RequestBuilder::new(Method::POST).with_body(ORDER);
     let failure = exchange().send(order.attempt(address)).await.expect_err("no answer");
-    (failure.verdict(), target.seen.connections())
+    (failure.verdict(), target.stats.connections())
 }
 
-/// An HTTP/2 target refuses a stream, or says that it goes away. Both can mean that the order
-/// was not started; a library that repeats it by itself, or a reset read as proof, doubles it.
+/// Guards against duplicate runs after an HTTP/2 `RST_STREAM` or `GOAWAY`. Either can mean that the
+/// order was not started; a retry by the HTTP library, or a wrong "not run", would run it twice.
 #[tokio::test]
-async fn http2_refusals_are_evidence_and_other_endings_are_not() {
-    let not_run =
-        [Ending::Reset(REFUSED_STREAM), Ending::GoAway { streams_below: 1, reason: NO_ERROR }];
-    for ending in not_run {
-        assert_eq!((Verdict::NotRun, 1), failure_by(ending).await, "{ending:?}");
+async fn only_http2_refusals_mean_not_run() {
+    let not_run = [
+        StreamEnd::Reset(REFUSED_STREAM),
+        StreamEnd::GoAway { streams_below: 1, reason: NO_ERROR },
+    ];
+    for end in not_run {
+        assert_eq!((Verdict::NotRun, 1), send_and_fail(end).await, "{end:?}");
     }
     let may_have_run = [
-        Ending::Reset(CANCEL),
-        Ending::GoAway { streams_below: 0, reason: NO_ERROR },
-        Ending::GoAway { streams_below: 1, reason: INTERNAL_ERROR },
-        Ending::Close,
+        StreamEnd::Reset(CANCEL),
+        StreamEnd::GoAway { streams_below: 0, reason: NO_ERROR },
+        StreamEnd::GoAway { streams_below: 1, reason: INTERNAL_ERROR },
+        StreamEnd::Close,
     ];
-    for ending in may_have_run {
-        assert_eq!((Verdict::MayHaveRun, 1), failure_by(ending).await, "{ending:?}");
+    for end in may_have_run {
+        assert_eq!((Verdict::MayHaveRun, 1), send_and_fail(end).await, "{end:?}");
     }
 }
 
-/// A process wakes up late with an order for an HTTP/2 target. HTTP/2 sends the headers before
-/// it asks for the body, so that "not run" would be a guess.
+/// Guards against an unproven "not run" when a process resumes after the deadline of a request to
+/// an HTTP/2 target. On HTTP/2 the headers are sent before the body is polled.
 #[tokio::test]
-async fn a_late_request_on_http2_is_not_called_not_run() {
-    let target = RawTarget::start(|_, mut wire| async move {
-        read_stream(&mut wire).await;
-        wire.drain().await;
+async fn expired_http2_request_may_have_run() {
+    let target = RawTarget::start(|_, mut connection| async move {
+        read_stream(&mut connection).await;
+        connection.drain().await;
     })
     .await;
     let reads = AtomicUsize::new(0);
@@ -149,9 +160,10 @@
     assert_eq!(Verdict::MayHaveRun, actual.expect_err("late").verdict());
 }
 
-/// A target's machine is gone. Nothing was sent, so that the caller may try elsewhere at once.
+/// Guards against a wrong verdict when a target's machine is gone: nothing was sent, so the request
+/// may be retried elsewhere at once.
 #[tokio::test]
-async fn a_refused_connection_is_not_run() {
+async fn refused_connection_is_not_run() {
     let target = RawTarget::start(|_, _| async {}).await;
     let address = target.target();
     target.stop().await;
--- a/crates/exchange/tests/http2_cuts.rs
+++ b/crates/exchange/tests/http2_cuts.rs
@@ -1,4 +1,4 @@
-//! HTTP/2 connections that are cut at every byte, in both directions.
+//! HTTP/2 connections that close after every possible byte, in both directions.
 
 mod support;
 
@@ -18,29 +18,29 @@
 
 const ORDER: &[u8] = b"{\"drums\":2}";
 const ANSWER: &str = "milled: 2 drums";
-/// More bytes than any exchange of these tests takes in one direction.
+/// More bytes than any request or answer of these tests takes in one direction.
 const BYTES_MAX: u64 = 4000;
 
-/// Where a relay cuts a connection.
+/// The direction in which a relay closes a connection, and after how many bytes.
 #[derive(Debug, Clone, Copy)]
 enum Cut {
     ToTarget(u64),
     ToCaller(u64),
 }
 
-/// A target that counts the orders that came whole.
-struct Mill {
+/// A target that counts the complete orders that it receives.
+struct CountingTarget {
     endpoint: Endpoint,
     runs: Arc<AtomicUsize>,
 }
 
-impl Mill {
+impl CountingTarget {
     async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let endpoint = Endpoint::new(listener.local_addr().expect("address"));
         let runs = Arc::new(AtomicUsize::new(0));
         let counted = Arc::clone(&runs);
-        let mill = make(move |mut request: Request| {
+        let endpoint_fn = make(move |mut request: Request| {
             let counted = Arc::clone(&counted);
             async move {
                 if request.take_body().into_bytes().await.is_ok_and(|body| body == ORDER) {
@@ -49,31 +49,31 @@
                 Response::builder().body(ANSWER)
             }
         });
-        tokio::spawn(serve(listener, mill, ServeConfig::default(), ServeControl::new()));
+        tokio::spawn(serve(listener, endpoint_fn, ServeConfig::default(), ServeControl::new()));
         Self { endpoint, runs }
     }
 
-    /// Runs so far, once everything that came before an order of its own has been worked off.
+    /// Returns the number of runs, after an order of its own has been answered.
     async fn settled_runs(&self) -> usize {
-        order(&exchange(), TargetAddress::new(self.endpoint)).await.expect("an answer");
+        send_order(&exchange(), TargetAddress::new(self.endpoint)).await.expect("an answer");
         self.runs.load(Ordering::SeqCst) - 1
     }
 
-    /// A relay that cuts each connection through it.
+    /// Starts a relay that closes each of its connections after the bytes given by `cut`.
     async fn relay(&self, cut: Cut) -> RawTarget {
-        let mill = self.endpoint.address();
-        RawTarget::start(move |_, wire| async move {
-            let mill = TcpStream::connect(mill).await.expect("connect");
-            let (from_mill, mut to_mill) = mill.into_split();
-            let (from_caller, mut to_caller) = wire.stream.into_split();
+        let address = self.endpoint.address();
+        RawTarget::start(move |_, connection| async move {
+            let target = TcpStream::connect(address).await.expect("connect");
+            let (from_target, mut to_target) = target.into_split();
+            let (from_caller, mut to_caller) = connection.stream.into_split();
             let (up, down) = match cut {
                 Cut::ToTarget(bytes) => (bytes, u64::MAX),
                 Cut::ToCaller(bytes) => (u64::MAX, bytes),
             };
-            let (mut from_caller, mut from_mill) = (from_caller.take(up), from_mill.take(down));
+            let (mut from_caller, mut from_target) = (from_caller.take(up), from_target.take(down));
             tokio::select! {
-                _ = copy(&mut from_caller, &mut to_mill) => {}
-                _ = copy(&mut from_mill, &mut to_caller) => {}
+                _ = copy(&mut from_caller, &mut to_target) => {}
+                _ = copy(&mut from_target, &mut to_caller) => {}
             }
             let _ended = to_caller.shutdown().await;
         })
@@ -81,29 +81,32 @@
     }
 }
 
-async fn order(exchange: &Exchange, at: TargetAddress) -> Result<BufferedAnswer, AttemptFailure> {
-    let order = RequestBuilder::new(Method::POST).with_body(ORDER);
-    exchange.send(order.attempt(at.with_http2(true))).await
+async fn send_order(
+    exchange: &Exchange,
+    address: TargetAddress,
+) -> Result<BufferedAnswer, AttemptFailure> {
+    let request = RequestBuilder::new(Method::POST).with_body(ORDER);
+    exchange.send(request.attempt(address.with_http2(true))).await
 }
 
-/// An order travels over HTTP/2 and the connection ends at some byte, on the way there or back.
-/// A library that opens another connection by itself mills it twice; half an answer, or "not
-/// run" of an order that ran, is as bad.
+/// Guards against a duplicate run, a truncated answer or a wrong "not run" verdict when an HTTP/2
+/// connection ends at any byte of a request or answer. The HTTP library must not retry on a new
+/// connection.
 #[tokio::test]
-async fn an_http2_connection_cut_at_any_byte_is_told_truly_and_not_replaced() {
+async fn truncated_http2_connection_has_correct_verdict_and_no_retry() {
     for direction in [Cut::ToTarget, Cut::ToCaller] {
-        let mut is_whole = false;
+        let mut is_complete = false;
         for bytes in 0..BYTES_MAX {
-            let mill = Mill::start().await;
-            let relay = mill.relay(direction(bytes)).await;
+            let target = CountingTarget::start().await;
+            let relay = target.relay(direction(bytes)).await;
 
-            let actual = order(&exchange(), relay.target()).await;
+            let actual = send_order(&exchange(), relay.target()).await;
 
             relay.closed().await;
-            let runs = mill.settled_runs().await;
+            let runs = target.settled_runs().await;
             let cut = direction(bytes);
-            assert_eq!(1, relay.seen.connections(), "{cut:?}");
-            is_whole = actual.is_ok();
+            assert_eq!(1, relay.stats.connections(), "{cut:?}");
+            is_complete = actual.is_ok();
             match actual {
                 Ok(answer) => assert_eq!((ANSWER.as_bytes(), 1), (&answer.body[..], runs)),
                 Err(failure) if failure.verdict() == Verdict::NotRun => {
@@ -111,10 +114,10 @@
                 }
                 Err(_) => assert!(runs <= 1, "{cut:?}"),
             }
-            if is_whole {
+            if is_complete {
                 break;
             }
         }
-        assert!(is_whole, "no exchange came through");
+        assert!(is_complete, "no exchange came through");
     }
 }
--- a/crates/exchange/tests/pipelined.rs
+++ b/crates/exchange/tests/pipelined.rs
@@ -1,4 +1,4 @@
-//! Requests that a caller sends one behind the other on a connection.
+//! Pipelined requests of a caller.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,57 +11,57 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-const SOON: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A port whose requests each wait for leave to be answered.
-struct Port {
+/// A served port whose requests each wait for a permit to be answered.
+struct TestPort {
     control: ServeControl,
     address: std::net::SocketAddr,
-    begun: Arc<AtomicUsize>,
+    started: Arc<AtomicUsize>,
     ended: Arc<AtomicUsize>,
-    leave: Arc<Semaphore>,
+    answer_permits: Arc<Semaphore>,
 }
 
-/// Counts a request as ended, answered or not.
-struct Ends(Arc<AtomicUsize>);
+/// Counts a request as ended on drop, whether it was answered or aborted.
+struct EndGuard(Arc<AtomicUsize>);
 
-impl Drop for Ends {
+impl Drop for EndGuard {
     fn drop(&mut self) {
         self.0.fetch_add(1, Ordering::SeqCst);
     }
 }
 
-impl Port {
-    /// Requests whose path begins with `/early` may be begun early.
+impl TestPort {
+    /// Starts a port that may start requests early whose path starts with `/early`.
     async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
-        let (begun, ended) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
-        let leave = Arc::new(Semaphore::new(0));
-        let shared = (Arc::clone(&begun), Arc::clone(&ended), Arc::clone(&leave));
+        let (started, ended) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
+        let answer_permits = Arc::new(Semaphore::new(0));
+        let shared = (Arc::clone(&started), Arc::clone(&ended), Arc::clone(&answer_permits));
         let endpoint = make(move |request: poem::Request| {
-            let (begun, ended, leave) = shared.clone();
+            let (started, ended, answer_permits) = shared.clone();
             async move {
-                begun.fetch_add(1, Ordering::SeqCst);
-                let _ends = Ends(ended);
-                leave.acquire().await.expect("open").forget();
+                started.fetch_add(1, Ordering::SeqCst);
+                let _end_guard = EndGuard(ended);
+                answer_permits.acquire().await.expect("open").forget();
                 request.uri().path().to_owned()
             }
         });
-        let early = Arc::new(|head: &http::request::Parts| {
+        let may_start_early = Arc::new(|head: &http::request::Parts| {
             assert!(head.method == Method::GET || head.method == Method::HEAD);
             head.uri.path().starts_with("/early")
         });
         let control = ServeControl::new();
         let config = ServeConfig::default();
-        tokio::spawn(serve_pipelined(listener, endpoint, config, control.clone(), early));
-        Self { control, address, begun, ended, leave }
+        tokio::spawn(serve_pipelined(listener, endpoint, config, control.clone(), may_start_early));
+        Self { control, address, started, ended, answer_permits }
     }
 
-    async fn begun(&self, count: usize) {
-        wait_for(&self.begun, count).await;
+    async fn wait_for_started(&self, count: usize) {
+        wait_for(&self.started, count).await;
         tokio::time::sleep(Duration::from_millis(30)).await;
-        assert_eq!(self.begun.load(Ordering::SeqCst), count);
+        assert_eq!(self.started.load(Ordering::SeqCst), count);
     }
 }
 
@@ -71,14 +71,14 @@
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    tokio::time::timeout(SOON, reached).await.expect("in time");
+    tokio::time::timeout(TIMEOUT, reached).await.expect("in time");
 }
 
 fn get(path: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nhost: orders\r\n\r\n")
 }
 
-/// Reads until all of these have come, and returns where each was found.
+/// Reads until all of `wanted` have been received and returns their positions.
 async fn positions(stream: &mut TcpStream, wanted: &[&str]) -> Vec<usize> {
     let mut text = String::new();
     let reading = async {
@@ -93,57 +93,56 @@
             text.push_str(&String::from_utf8_lossy(&piece[..size]));
         }
     };
-    tokio::time::timeout(SOON, reading).await.expect("in time")
+    tokio::time::timeout(TIMEOUT, reading).await.expect("in time")
 }
 
-/// A club secretary's program asks for three histories one behind the other. Begun only after the
-/// answer before, the third comes late although servers are idle.
+/// Guards against pipelined requests that wait for the previous answer although targets are idle.
 #[tokio::test]
-async fn requests_behind_another_are_begun_at_once_and_answered_in_order() {
-    let port = Port::start().await;
+async fn pipelined_requests_start_at_once_and_are_answered_in_order() {
+    let port = TestPort::start().await;
     let mut caller = TcpStream::connect(port.address).await.expect("connect");
     let sent = [get("/early/1"), get("/early/2"), get("/early/3")].concat();
     caller.write_all(sent.as_bytes()).await.expect("writable");
-    port.begun(3).await;
-    port.leave.add_permits(3);
+    port.wait_for_started(3).await;
+    port.answer_permits.add_permits(3);
     let found = positions(&mut caller, &["/early/1", "/early/2", "/early/3"]).await;
     assert!(found.is_sorted(), "{found:?}");
 }
 
-/// Whatever way the bytes arrive in, each request is begun once.
+/// Guards against starting a request twice when its head is received in pieces.
 #[tokio::test]
-async fn heads_in_pieces_are_begun_once() {
-    let port = Port::start().await;
+async fn heads_received_in_pieces_start_once() {
+    let port = TestPort::start().await;
     let mut caller = TcpStream::connect(port.address).await.expect("connect");
     let sent = [get("/early/1"), get("/early/2"), get("/early/3")].concat();
     for byte in sent.as_bytes() {
         caller.write_all(&[*byte]).await.expect("writable");
         tokio::task::yield_now().await;
     }
-    port.begun(3).await;
-    port.leave.add_permits(3);
+    port.wait_for_started(3).await;
+    port.answer_permits.add_permits(3);
     positions(&mut caller, &["/early/1", "/early/2", "/early/3"]).await;
-    port.begun(3).await;
+    port.wait_for_started(3).await;
 }
 
-/// An order waits behind a look-up. If the connection closes after the look-up's answer, its caller
-/// sends the order again: begun early, it would be milled twice.
+/// Guards against a duplicate run of an order that waits behind another request. If the connection
+/// closes after the first answer, the caller sends the order again, so it must not start early.
 #[tokio::test]
-async fn a_request_that_may_not_run_twice_waits_for_its_turn() {
-    let port = Port::start().await;
+async fn unrepeatable_request_waits_for_its_turn() {
+    let port = TestPort::start().await;
     let mut caller = TcpStream::connect(port.address).await.expect("connect");
     let sent = [get("/early/1"), get("/late/2"), get("/early/3")].concat();
     caller.write_all(sent.as_bytes()).await.expect("writable");
-    port.begun(2).await;
-    port.leave.add_permits(3);
+    port.wait_for_started(2).await;
+    port.answer_permits.add_permits(3);
     let found = positions(&mut caller, &["/early/1", "/late/2", "/early/3"]).await;
     assert!(found.is_sorted(), "{found:?}");
 }
 
-/// A body holds what looks like a request. Nobody sent it as one, so that it must not run.
+/// Guards against request smuggling by a body that looks like a request.
 #[tokio::test]
-async fn nothing_inside_a_body_is_taken_for_a_request() {
-    let port = Port::start().await;
+async fn body_is_not_parsed_as_request() {
+    let port = TestPort::start().await;
     let mut caller = TcpStream::connect(port.address).await.expect("connect");
     let inside = get("/early/smuggled");
     let post = format!(
@@ -152,70 +151,69 @@
     );
     let sent = [get("/early/0"), post, get("/early/2")].concat();
     caller.write_all(sent.as_bytes()).await.expect("writable");
-    port.begun(1).await;
-    port.leave.add_permits(3);
+    port.wait_for_started(1).await;
+    port.answer_permits.add_permits(3);
     positions(&mut caller, &["/early/0", "/late/1", "/early/2"]).await;
-    port.begun(3).await;
+    port.wait_for_started(3).await;
 }
 
-/// A caller leaves while it has requests waiting. Their work must end, or servers are busy for
-/// nobody.
+/// Guards against wasted work when a caller disconnects with several requests in progress.
 #[tokio::test]
-async fn a_caller_that_leaves_ends_all_of_its_requests() {
-    let port = Port::start().await;
+async fn disconnect_aborts_all_requests() {
+    let port = TestPort::start().await;
     let mut caller = TcpStream::connect(port.address).await.expect("connect");
     let sent = [get("/early/1"), get("/early/2")].concat();
     caller.write_all(sent.as_bytes()).await.expect("writable");
-    port.begun(2).await;
+    port.wait_for_started(2).await;
     drop(caller);
     wait_for(&port.ended, 2).await;
 }
 
-/// A caller that sends without end is held back, not stored.
+/// Guards against unbounded buffering when a caller sends without reading answers.
 #[tokio::test]
-async fn what_is_read_ahead_is_bounded() {
-    let port = Port::start().await;
+async fn read_ahead_is_bounded() {
+    let port = TestPort::start().await;
     let mut caller = TcpStream::connect(port.address).await.expect("connect");
     let flood = get("/early/x").repeat(1_000_000);
     let writing =
         tokio::time::timeout(Duration::from_millis(300), caller.write_all(flood.as_bytes()));
     assert!(writing.await.is_err(), "all was taken");
-    assert!(port.begun.load(Ordering::SeqCst) <= 9);
+    assert!(port.started.load(Ordering::SeqCst) <= 9);
 }
 
-/// A caller leaves while its second request waits unread behind the first. Begun after the first
-/// one's end, it would take a server's time for nobody.
+/// Guards against wasted work when a caller disconnects while its second request waits for the
+/// first one to end.
 #[tokio::test]
-async fn what_a_caller_left_behind_is_not_begun() {
-    let port = Port::start().await;
+async fn waiting_requests_do_not_start_after_disconnect() {
+    let port = TestPort::start().await;
     let mut caller = TcpStream::connect(port.address).await.expect("connect");
     let sent = [get("/late/1"), get("/late/2")].concat();
     caller.write_all(sent.as_bytes()).await.expect("writable");
-    port.begun(1).await;
+    port.wait_for_started(1).await;
     drop(caller);
     wait_for(&port.ended, 1).await;
-    port.leave.add_permits(2);
-    port.begun(1).await;
+    port.answer_permits.add_permits(2);
+    port.wait_for_started(1).await;
 }
 
-/// An entry begins to stop while two look-ups of one caller run, the second begun early. Closed after
-/// the first answer, the connection would take the second one with it, although a server has run it.
+/// Guards against a lost answer when an entry stops while two pipelined requests of a caller run. A
+/// close after the first answer would lose the second one, although a target has run it.
 #[tokio::test]
-async fn what_was_begun_is_answered_before_a_closing_connection_ends() {
-    let port = Port::start().await;
+async fn started_requests_are_answered_before_close() {
+    let port = TestPort::start().await;
     let mut caller = TcpStream::connect(port.address).await.expect("connect");
     let sent = [get("/early/1"), get("/early/2")].concat();
     caller.write_all(sent.as_bytes()).await.expect("writable");
-    port.begun(2).await;
+    port.wait_for_started(2).await;
     port.control.announce_close();
     caller.write_all(get("/early/3").as_bytes()).await.expect("writable");
-    port.begun(2).await;
-    port.leave.add_permits(3);
+    port.wait_for_started(2).await;
+    port.answer_permits.add_permits(3);
     let mut answers = String::new();
     let reading = caller.read_to_string(&mut answers);
-    tokio::time::timeout(SOON, reading).await.expect("in time").expect("readable");
+    tokio::time::timeout(TIMEOUT, reading).await.expect("in time").expect("readable");
     assert!(answers.contains("/early/1") && answers.contains("/early/2"), "{answers}");
     assert_eq!(answers.matches("connection: close").count(), 1, "{answers}");
     assert!(!answers.contains("/early/3"), "{answers}");
-    port.begun(2).await;
+    port.wait_for_started(2).await;
 }
--- a/crates/exchange/tests/port.rs
+++ b/crates/exchange/tests/port.rs
@@ -1,139 +1,141 @@
-//! The callers' port: bounded in connections, time and header bytes, and stopped gracefully.
+//! The port for callers: limits on connections, timeouts and headers, and the graceful stop.
 
-#[path = "support/front.rs"]
-mod front;
+#[path = "support/test_server.rs"]
+mod test_server;
 
 use std::time::Duration;
 
-use front::{Echo, Front, read_answer, read_to_end, status};
 use shallotfork_exchange::ServeConfig;
 use shallotfork_types::Bytes;
+use test_server::{EchoEndpoint, TestServer, read_answer, read_to_end, status};
 use tokio::io::AsyncWriteExt;
 
-const SHORT: Duration = Duration::from_millis(300);
+const HEADER_TIMEOUT: Duration = Duration::from_millis(300);
 const GET: &[u8] = b"GET / HTTP/1.1\r\nhost: a\r\n\r\n";
 const HOLD: &[u8] = b"GET /hold HTTP/1.1\r\nhost: a\r\n\r\n";
 
-/// Connections that send nothing, a word, or half a request, and then stay. Each would hold a
-/// descriptor for ever, until no caller can connect any more.
+/// Guards against stalled connections that send nothing or part of a request. Each would occupy a
+/// file descriptor forever, until no caller can connect any more.
 #[tokio::test]
-async fn senders_that_stall_are_closed_and_others_served() {
-    let config = ServeConfig { header_timeout: SHORT, ..ServeConfig::default() };
-    let front = Front::start(Echo::new(), config).await;
+async fn stalled_connections_are_closed() {
+    let config = ServeConfig { header_timeout: HEADER_TIMEOUT, ..ServeConfig::default() };
+    let server = TestServer::start(EchoEndpoint::new(), config).await;
     for sent in [b"".as_slice(), b"G", b"PRI * HTTP/2.0\r\n", b"GET / HTTP/1.1\r\nhost: a\r\n"] {
-        let mut stalled = front.connect().await;
+        let mut stalled = server.connect().await;
         stalled.write_all(sent).await.expect("write");
-        assert_eq!("200", status(&front.ask("GET / HTTP/1.1\r\nhost: a\r\n\r\n").await));
+        assert_eq!("200", status(&server.send("GET / HTTP/1.1\r\nhost: a\r\n\r\n").await));
         let answer = read_to_end(stalled).await;
         assert!(["none", "408"].contains(&status(&answer)), "{answer}");
     }
 }
 
-/// A sender drips one byte of its headers after the other, each just before a limit on silence.
+/// Guards against a sender that keeps a connection open by sending its headers byte by byte, so
+/// that a timeout between bytes would never expire.
 #[tokio::test]
-async fn a_sender_that_drips_is_closed() {
-    let config = ServeConfig { header_timeout: SHORT, ..ServeConfig::default() };
-    let front = Front::start(Echo::new(), config).await;
-    let mut stream = front.connect().await;
+async fn slow_sender_is_closed() {
+    let config = ServeConfig { header_timeout: HEADER_TIMEOUT, ..ServeConfig::default() };
+    let server = TestServer::start(EchoEndpoint::new(), config).await;
+    let mut stream = server.connect().await;
     stream.write_all(b"GET / HTTP/1.1\r\nx: ").await.expect("write");
     while stream.write_all(b"x").await.is_ok() {
-        tokio::time::sleep(SHORT / 10).await;
+        tokio::time::sleep(HEADER_TIMEOUT / 10).await;
     }
-    assert_eq!(0, front.control.in_flight());
+    assert_eq!(0, server.control.in_flight());
 }
 
 #[tokio::test]
-async fn a_head_over_the_limit_is_refused() {
+async fn head_over_limit_is_rejected() {
     let config = ServeConfig { header_max: Bytes::from_kib(8), ..ServeConfig::default() };
-    let front = Front::start(Echo::new(), config).await;
+    let server = TestServer::start(EchoEndpoint::new(), config).await;
     let large = "x".repeat(9000);
-    let answer = front.ask(&format!("GET / HTTP/1.1\r\nhost: a\r\nlarge: {large}\r\n\r\n")).await;
+    let answer = server.send(&format!("GET / HTTP/1.1\r\nhost: a\r\nlarge: {large}\r\n\r\n")).await;
     assert_eq!("431", status(&answer));
 }
 
-/// More callers connect than the port may hold. The surplus waits, and is served in its turn.
+/// Guards against exceeding the connection limit: further connections wait and are served once an
+/// earlier one has closed.
 #[tokio::test]
-async fn connections_over_the_limit_wait_for_a_slot() {
+async fn connections_over_limit_wait() {
     let config = ServeConfig { connections_max: 2, ..ServeConfig::default() };
-    let front = Front::start(Echo::new(), config).await;
-    let mut first = front.connect().await;
-    let mut second = front.connect().await;
+    let server = TestServer::start(EchoEndpoint::new(), config).await;
+    let mut first = server.connect().await;
+    let mut second = server.connect().await;
     for stream in [&mut first, &mut second] {
         stream.write_all(GET).await.expect("write");
         read_answer(stream).await;
     }
-    let mut third = front.connect().await;
+    let mut third = server.connect().await;
     third.write_all(GET).await.expect("write");
-    assert_eq!(2, front.control.connections());
+    assert_eq!(2, server.control.connections());
     drop(first);
     assert_eq!("200", status(&read_answer(&mut third).await));
 }
 
-/// An entry is stopped while requests are in flight and other connections are kept open.
+/// Guards against lost answers when an entry stops with requests in flight and idle connections.
 #[tokio::test]
-async fn a_stop_ends_what_is_in_flight_and_closes_the_rest() {
-    let front = Front::plain().await;
-    let mut busy = front.connect().await;
+async fn stop_completes_requests_and_closes_idle_connections() {
+    let server = TestServer::plain().await;
+    let mut busy = server.connect().await;
     busy.write_all(HOLD).await.expect("write");
-    front.echo.held.notified().await;
-    let mut kept = front.connect().await;
-    kept.write_all(GET).await.expect("write");
-    read_answer(&mut kept).await;
-
-    front.control.stop();
-    assert_eq!("", read_to_end(kept).await);
-    assert_eq!(1, front.control.in_flight());
-    assert!(!front.served.is_finished());
-    front.echo.release.add_permits(1);
+    server.echo.on_hold.notified().await;
+    let mut idle = server.connect().await;
+    idle.write_all(GET).await.expect("write");
+    read_answer(&mut idle).await;
+
+    server.control.stop();
+    assert_eq!("", read_to_end(idle).await);
+    assert_eq!(1, server.control.in_flight());
+    assert!(!server.served.is_finished());
+    server.echo.release.add_permits(1);
     let answer = read_to_end(busy).await;
 
     assert_eq!("200", status(&answer));
     assert!(answer.contains("connection: close\r\n"), "{answer}");
-    front.served.await.expect("join").expect("served");
-    assert_eq!(0, front.control.connections());
+    server.served.await.expect("join").expect("served");
+    assert_eq!(0, server.control.connections());
 }
 
-/// An entry is about to stop. A caller that keeps a connection must turn away by itself, since
-/// a request sent just as the entry closes the connection would be lost.
+/// Guards against a request lost because it is sent just as a stopping entry closes the connection.
+/// `Connection: close` makes the caller move to another entry before.
 #[tokio::test]
-async fn a_port_that_announces_its_close_ends_connections_with_an_answer() {
-    let front = Front::plain().await;
-    let mut kept = front.connect().await;
-    kept.write_all(GET).await.expect("write");
-    assert!(!read_answer(&mut kept).await.contains("connection: close"));
+async fn announced_close_ends_connection_with_next_answer() {
+    let server = TestServer::plain().await;
+    let mut idle = server.connect().await;
+    idle.write_all(GET).await.expect("write");
+    assert!(!read_answer(&mut idle).await.contains("connection: close"));
 
-    front.control.announce_close();
-    kept.write_all(GET).await.expect("write");
+    server.control.announce_close();
+    idle.write_all(GET).await.expect("write");
 
-    let answer = read_to_end(kept).await;
+    let answer = read_to_end(idle).await;
     assert!(answer.contains("connection: close\r\n"), "{answer}");
-    assert!(!front.served.is_finished());
+    assert!(!server.served.is_finished());
 }
 
-/// Two of three entries that callers use are replaced. Their callers choose anew among all three,
-/// those of the third one stay, and it ends up with most of the load. Its connections are renewed:
-/// each is closed after its next answer, or after the last one when further requests wait behind.
+/// Guards against unbalanced load when two of three advertised entries are replaced: their callers
+/// choose again among all three, while those of the third entry stay. Its connections are renewed,
+/// which closes each after its next answer, or after the last one if further requests wait.
 #[tokio::test]
-async fn a_renewal_closes_each_connection_once_after_all_its_requests() {
-    let front = Front::plain().await;
-    let (mut kept, mut busy) = (front.connect().await, front.connect().await);
-    for stream in [&mut kept, &mut busy] {
+async fn renewal_closes_connection_after_pending_requests() {
+    let server = TestServer::plain().await;
+    let (mut idle, mut busy) = (server.connect().await, server.connect().await);
+    for stream in [&mut idle, &mut busy] {
         stream.write_all(GET).await.expect("write");
         assert!(!read_answer(stream).await.contains("connection: close"));
     }
     busy.write_all(&[HOLD, HOLD, GET].concat()).await.expect("write");
-    front.echo.held.notified().await;
-    front.control.renew_connections();
+    server.echo.on_hold.notified().await;
+    server.control.renew_connections();
 
-    kept.write_all(GET).await.expect("write");
-    assert!(read_to_end(kept).await.contains("connection: close"));
-    front.echo.release.add_permits(2);
+    idle.write_all(GET).await.expect("write");
+    assert!(read_to_end(idle).await.contains("connection: close"));
+    server.echo.release.add_permits(2);
     let answers = read_to_end(busy).await;
     let heads: Vec<&str> = answers.split("HTTP/1.1 200").skip(1).collect();
     let closing: Vec<bool> = heads.iter().map(|head| head.contains("connection: close")).collect();
     assert_eq!([false, false, true].as_slice(), closing);
 
-    let mut new = front.connect().await;
+    let mut new = server.connect().await;
     new.write_all(GET).await.expect("write");
     assert!(!read_answer(&mut new).await.contains("connection: close"));
 }
--- a/crates/exchange/tests/requests.rs
+++ b/crates/exchange/tests/requests.rs
@@ -1,29 +1,29 @@
-//! What callers send: taken whole, or refused with a clear answer.
+//! Reading and rejecting requests of callers.
 
-#[path = "support/front.rs"]
-mod front;
+#[path = "support/test_server.rs"]
+mod test_server;
 
 use std::sync::LazyLock;
 use std::time::Duration;
 
-use front::{Echo, Front, read_to_end, status};
 use quickcheck::{Gen, QuickCheck};
 use shallotfork_exchange::ServeConfig;
 use shallotfork_types::Bytes;
+use test_server::{EchoEndpoint, TestServer, read_to_end, status};
 use tokio::io::AsyncWriteExt;
 use tokio::runtime::Runtime;
 
 const GEN_SIZE: usize = 64;
 const SEED: u64 = 0x5ba1;
 const CASES: u64 = 300;
-/// More than the kernel's buffers of one connection take.
+/// More than the kernel buffers for one connection.
 const LARGE: Bytes = Bytes::from_mib(32);
 
 #[tokio::test]
-async fn a_whole_request_loses_only_what_was_meant_for_this_hop() {
-    let front = Front::plain().await;
-    let actual = front
-        .ask(
+async fn removes_only_hop_by_hop_and_entry_headers() {
+    let server = TestServer::plain().await;
+    let actual = server
+        .send(
             "POST /orders?mill=2 HTTP/1.1\r\nhost: orders:8080\r\nconnection: close, batch\r\n\
              batch: 7\r\nte: trailers\r\nkeep-alive: timeout=5\r\nproxy-authorization: x\r\n\
              upgrade: websocket\r\nshallotfork-session: s.1\r\nidempotency-key: order-9\r\n\
@@ -36,36 +36,36 @@
     insta::assert_snapshot!(body);
 }
 
-/// HTTP/2 names the service in `:authority` and sends no `Host`; an absolute request target goes
-/// before `Host`. A target that is told another host, or its own address, serves the wrong site.
+/// Guards against forwarding a wrong host, for which a target would serve the wrong site. HTTP/2
+/// sends `:authority` without `Host`; an absolute request target takes precedence over `Host`.
 #[tokio::test]
-async fn the_authority_becomes_the_host() {
-    let front = Front::plain().await;
+async fn authority_replaces_host() {
+    let server = TestServer::plain().await;
     let client = reqwest::Client::builder()
         .http2_prior_knowledge()
-        .resolve("orders", front.address)
+        .resolve("orders", server.address)
         .build()
         .expect("client");
-    let url = format!("http://orders:{}/card", front.address.port());
+    let url = format!("http://orders:{}/card", server.address.port());
     let http2 = client.post(url).body("mill").send().await.expect("an answer");
     let http2 = http2.text().await.expect("a body");
-    let host = format!("host: orders:{}\n", front.address.port());
+    let host = format!("host: orders:{}\n", server.address.port());
     assert!(http2.starts_with("POST /card of orders\n") && http2.contains(&host), "{http2}");
 
     let absolute = "GET http://orders/card HTTP/1.1\r\nhost: other\r\n\r\n";
-    let absolute = front.ask(absolute).await;
+    let absolute = server.send(absolute).await;
     assert!(absolute.contains("GET /card of orders\nhost: orders\n"), "{absolute}");
 }
 
-/// A caller's `Connection` names headers that are meant for the target, so that the entry removes
-/// them and the target serves another host, or an order without its key.
+/// Guards against the removal of headers for the target that a caller lists in `Connection`. The
+/// target would serve another host, or run an order without its idempotency key.
 #[tokio::test]
-async fn connection_cannot_take_the_host_or_the_key() {
-    let front = Front::plain().await;
+async fn connection_header_cannot_remove_end_to_end_headers() {
+    let server = TestServer::plain().await;
     let named = "POST /card HTTP/1.1\r\nhost: orders\r\nidempotency-key: order-9\r\n\
         shallotfork-caller: bakery\r\n\
         connection: Host, idempotency-key, shallotfork-caller\r\n\r\n";
-    let actual = front.ask(named).await;
+    let actual = server.send(named).await;
     for kept in
         ["\nhost: orders\n", "\nidempotency-key: order-9\n", "\nshallotfork-caller: bakery\n"]
     {
@@ -74,8 +74,8 @@
 }
 
 #[tokio::test]
-async fn malformed_requests_get_a_clear_4xx() {
-    let front = Front::plain().await;
+async fn malformed_requests_are_rejected() {
+    let server = TestServer::plain().await;
     let cases = [
         ("no host", "GET / HTTP/1.1\r\n\r\n"),
         ("two hosts", "GET / HTTP/1.1\r\nhost: a\r\nhost: b\r\n\r\n"),
@@ -122,22 +122,22 @@
     ];
     let mut lines = Vec::new();
     for (name, request) in cases {
-        let answer = front.ask(request).await;
+        let answer = server.send(request).await;
         let verdict = answer.lines().find(|line| line.starts_with("shallotfork-verdict"));
         let body = answer.split("\r\n\r\n").nth(1).unwrap_or_default();
         lines.push(format!("{name}\n  {} {}\n  {body}", status(&answer), verdict.unwrap_or("-")));
     }
     insta::assert_snapshot!(lines.join("\n"));
-    assert_eq!("200", status(&front.ask("GET / HTTP/1.1\r\nhost: a\r\n\r\n").await));
+    assert_eq!("200", status(&server.send("GET / HTTP/1.1\r\nhost: a\r\n\r\n").await));
 }
 
-/// A request gives two lengths, to hide a second request from whichever hop goes by the other
-/// one. Here the chunks decide, the length is gone, and the connection ends with the answer
-/// (RFC 9112, 6.1), so that what is left over is not read.
+/// Guards against request smuggling by a request with two lengths. The chunks take precedence, the
+/// length is removed, and the connection closes after the answer, so that remaining bytes are not
+/// read (RFC 9112, 6.1).
 #[tokio::test]
-async fn a_length_beside_chunks_hides_nothing() {
-    let front = Front::plain().await;
-    let mut stream = front.connect().await;
+async fn length_with_chunks_allows_no_smuggling() {
+    let server = TestServer::plain().await;
+    let mut stream = server.connect().await;
     let two = "POST /first HTTP/1.1\r\nhost: a\r\ncontent-length: 40\r\n\
         transfer-encoding: chunked\r\n\r\n0\r\n\r\nGET /second HTTP/1.1\r\nhost: a\r\n\r\n";
     stream.write_all(two.as_bytes()).await.expect("write");
@@ -148,31 +148,31 @@
     assert!(!answers.contains("/second"));
 }
 
-/// A caller's connection breaks while it uploads a dossier. A target that saw the first half
-/// would store half a dossier.
+/// Guards against forwarding a truncated upload, which a target would store, when a caller's
+/// connection breaks.
 #[tokio::test]
-async fn an_upload_cut_at_any_byte_is_never_whole() {
-    let front = Front::plain().await;
+async fn truncated_upload_is_rejected() {
+    let server = TestServer::plain().await;
     for upload in [
         "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 7\r\n\r\ndossier",
         "POST / HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n3\r\ndos\r\n4\r\nsier\r\n0\r\n\r\n",
     ] {
         for cut in 0..upload.len() {
-            let answer = front.ask_cut(&upload[..cut]).await;
+            let answer = server.send_truncated(&upload[..cut]).await;
             assert_ne!("200", status(&answer), "cut at {cut}");
         }
-        assert_eq!("200", status(&front.ask(upload).await));
+        assert_eq!("200", status(&server.send(upload).await));
     }
-    assert_eq!(Bytes::new(0), front.echo.budget.held());
+    assert_eq!(Bytes::new(0), server.echo.budget.held());
 }
 
-/// A restorer's link stalls in the middle of a dossier. Without an end to the wait, each such
-/// link would hold a connection and its memory for ever.
+/// Guards against uploads that stall: without a timeout, each would occupy a connection and its
+/// memory forever.
 #[tokio::test]
-async fn a_body_that_stalls_is_given_up() {
-    let echo = Echo::new().with_body_timeout(Duration::from_millis(50));
-    let front = Front::start(echo, ServeConfig::default()).await;
-    let mut stream = front.connect().await;
+async fn stalled_body_times_out() {
+    let echo = EchoEndpoint::new().with_body_timeout(Duration::from_millis(50));
+    let server = TestServer::start(echo, ServeConfig::default()).await;
+    let mut stream = server.connect().await;
     stream
         .write_all(b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n\r\nhalf")
         .await
@@ -182,17 +182,18 @@
 
     assert_eq!("408", status(&answer));
     assert!(answer.contains("shallotfork-verdict: not-run"));
-    assert_eq!(Bytes::new(0), front.echo.budget.held());
+    assert_eq!(Bytes::new(0), server.echo.budget.held());
 }
 
-/// A restorer sends a dossier with a malformed key, and reads the answer once all is sent, as
-/// simple clients do. A connection that is closed with bytes unread is reset by the kernel, and
-/// the reset takes the answer with it: the restorer sees a broken connection and tries again.
+/// Guards against a rejection lost to a caller that sends its whole body before it reads the
+/// answer, as simple clients do. The kernel resets a connection that is closed with unread bytes;
+/// the reset discards the answer, and the caller retries because of a broken connection.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_refusal_reaches_a_sender_that_sends_on() {
-    let front = Front::start(Echo::new().with_body_max(LARGE), ServeConfig::default()).await;
+async fn rejection_reaches_caller_that_keeps_sending() {
+    let server =
+        TestServer::start(EchoEndpoint::new().with_body_max(LARGE), ServeConfig::default()).await;
     let size = LARGE.value();
-    let mut stream = front.connect().await;
+    let mut stream = server.connect().await;
     let head = "POST / HTTP/1.1\r\nhost: a\r\nconnection: close\r\nidempotency-key: a b\r\n";
     let head = format!("{head}content-length: {size}\r\n\r\n");
     stream.write_all(head.as_bytes()).await.expect("write the head");
@@ -200,33 +201,33 @@
     assert_eq!("400", status(&read_to_end(stream).await));
 }
 
-/// Many callers upload at once, more than the process has memory for.
+/// Guards against memory exhaustion when many callers upload at the same time.
 #[tokio::test]
-async fn bodies_over_the_process_limit_are_told_to_come_back() {
-    let front = Front::plain().await;
+async fn exhausted_body_budget_returns_retry_after() {
+    let server = TestServer::plain().await;
     let upload = format!(
         "POST /hold HTTP/1.1\r\nhost: a\r\ncontent-length: 1000\r\n\r\n{}",
         "x".repeat(1000)
     );
     let mut holding = Vec::new();
     for _ in 0..8 {
-        let mut stream = front.connect().await;
+        let mut stream = server.connect().await;
         stream.write_all(upload.as_bytes()).await.expect("write");
-        front.echo.held.notified().await;
+        server.echo.on_hold.notified().await;
         holding.push(stream);
     }
 
-    let answer = front.ask(&upload).await;
+    let answer = server.send(&upload).await;
 
     assert_eq!("503", status(&answer));
     assert!(answer.contains("retry-after: 1\r\n"));
-    front.echo.release.add_permits(holding.len());
+    server.echo.release.add_permits(holding.len());
 }
 
 #[tokio::test]
-async fn expect_continue_is_answered_before_the_body() {
-    let front = Front::plain().await;
-    let mut stream = front.connect().await;
+async fn sends_continue_before_body() {
+    let server = TestServer::plain().await;
+    let mut stream = server.connect().await;
     let head = "POST / HTTP/1.1\r\nhost: a\r\nconnection: close\r\ncontent-length: 4\r\nexpect: 100-continue\r\n\r\n";
     stream.write_all(head.as_bytes()).await.expect("write");
     let mut interim = [0; 25];
@@ -236,14 +237,14 @@
     assert!(read_to_end(stream).await.contains("4 body bytes"));
 }
 
-static PORT: LazyLock<(Runtime, Front)> = LazyLock::new(|| {
+static SERVER: LazyLock<(Runtime, TestServer)> = LazyLock::new(|| {
     let runtime = Runtime::new().expect("runtime");
-    let front = runtime.block_on(Front::plain());
-    (runtime, front)
+    let server = runtime.block_on(TestServer::plain());
+    (runtime, server)
 });
 
 async fn is_answered_or_closed(path: String, body: Vec<u8>) -> bool {
-    let mut stream = PORT.1.connect().await;
+    let mut stream = SERVER.1.connect().await;
     let head = format!("POST /{path} HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n");
     let _ = stream.write_all(head.as_bytes()).await;
     let _ = stream.write_all(&body).await;
@@ -252,16 +253,17 @@
     answer.is_empty() || answer.starts_with("HTTP/1.1 ")
 }
 
-/// Whatever bytes come, each is answered or the connection is closed, and the port serves on.
+/// Guards against input that stops the port: any bytes lead to an answer or a closed connection,
+/// and the port continues to serve.
 #[test]
-fn no_bytes_stop_the_port() {
+fn arbitrary_bytes_do_not_stop_port() {
     fn property(path: String, body: Vec<u8>) -> bool {
-        PORT.0.block_on(is_answered_or_closed(path, body))
+        SERVER.0.block_on(is_answered_or_closed(path, body))
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(GEN_SIZE, SEED))
         .tests(CASES)
         .quickcheck(property as fn(String, Vec<u8>) -> bool);
-    let answer = PORT.0.block_on(PORT.1.ask("GET / HTTP/1.1\r\nhost: a\r\n\r\n"));
+    let answer = SERVER.0.block_on(SERVER.1.send("GET / HTTP/1.1\r\nhost: a\r\n\r\n"));
     assert_eq!("200", status(&answer));
 }
--- a/crates/exchange/tests/support/mod.rs
+++ b/crates/exchange/tests/support/mod.rs
@@ -21,13 +21,13 @@
 pub const DEADLINE: Duration = Duration::from_secs(20);
 pub const BUDGET: Bytes = Bytes::from_mib(64);
 
-/// A clock that stands at zero, so that no test depends on the speed of the machine.
-pub fn standing_clock() -> NowFn {
+/// A clock that always returns zero, so that no test depends on the speed of the machine.
+pub fn fixed_clock() -> NowFn {
     Arc::new(|| Mono::ZERO)
 }
 
 pub fn exchange() -> Exchange {
-    exchange_with(ExchangeConfig::default(), standing_clock())
+    exchange_with(ExchangeConfig::default(), fixed_clock())
 }
 
 pub fn exchange_with(config: ExchangeConfig, now: NowFn) -> Exchange {
@@ -74,7 +74,7 @@
         self
     }
 
-    /// Marks the request, so that the target can tell it from others.
+    /// Adds a mark by which the target can distinguish the request from others.
     pub fn with_mark(mut self, mark: usize) -> Self {
         self.request.headers.insert("mark", HeaderValue::from(mark));
         self
@@ -85,9 +85,9 @@
     }
 }
 
-/// What a target has seen.
+/// What a target has received.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct TargetStats {
     pub connections: AtomicUsize,
     pub request_bytes: AtomicUsize,
     pub requests: AtomicUsize,
@@ -95,7 +95,7 @@
     marks: Mutex<Vec<usize>>,
 }
 
-impl Seen {
+impl TargetStats {
     pub fn connections(&self) -> usize {
         self.connections.load(Ordering::SeqCst)
     }
@@ -108,9 +108,9 @@
         self.requests.load(Ordering::SeqCst)
     }
 
-    /// How often a whole request with this mark has come.
+    /// Returns how many complete requests with this mark were received.
     pub fn runs(&self, mark: usize) -> usize {
-        self.marks.lock().expect("lock").iter().filter(|&&seen| seen == mark).count()
+        self.marks.lock().expect("lock").iter().filter(|&&stats| stats == mark).count()
     }
 }
 
@@ -118,26 +118,26 @@
 #[derive(Debug)]
 pub struct RawTarget {
     pub address: SocketAddr,
-    pub seen: Arc<Seen>,
+    pub stats: Arc<TargetStats>,
     task: tokio::task::JoinHandle<()>,
 }
 
 impl RawTarget {
     pub async fn start<F, Fut>(script: F) -> Self
     where
-        F: Fn(usize, Wire) -> Fut + Send + Sync + 'static,
+        F: Fn(usize, RawConnection) -> Fut + Send + Sync + 'static,
         Fut: Future<Output = ()> + Send + 'static,
     {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
-        let seen = Arc::new(Seen::default());
-        let counted = Arc::clone(&seen);
+        let stats = Arc::new(TargetStats::default());
+        let counted = Arc::clone(&stats);
         let task = tokio::spawn(async move {
             loop {
                 let (stream, _) = listener.accept().await.expect("accept");
                 let index = counted.connections.fetch_add(1, Ordering::SeqCst);
                 counted.open.fetch_add(1, Ordering::SeqCst);
-                let running = script(index, Wire { stream, seen: Arc::clone(&counted) });
+                let running = script(index, RawConnection { stream, stats: Arc::clone(&counted) });
                 let counted = Arc::clone(&counted);
                 tokio::spawn(async move {
                     running.await;
@@ -145,10 +145,10 @@
                 });
             }
         });
-        Self { address, seen, task }
+        Self { address, stats, task }
     }
 
-    /// Stops listening.
+    /// Closes the listening socket.
     pub async fn stop(mut self) {
         self.task.abort();
         let _ = (&mut self.task).await;
@@ -156,7 +156,7 @@
 
     /// Waits until every connection's script has ended.
     pub async fn closed(&self) {
-        while self.seen.open.load(Ordering::SeqCst) > 0 {
+        while self.stats.open.load(Ordering::SeqCst) > 0 {
             tokio::task::yield_now().await;
         }
     }
@@ -172,32 +172,32 @@
     }
 }
 
-/// One connection as its target sees it.
+/// The target's side of a connection.
 #[derive(Debug)]
-pub struct Wire {
+pub struct RawConnection {
     pub stream: TcpStream,
-    seen: Arc<Seen>,
+    stats: Arc<TargetStats>,
 }
 
-impl Wire {
-    /// Reads one byte; `None` at the end.
+impl RawConnection {
+    /// Reads one byte; returns `None` at the end.
     pub async fn byte(&mut self) -> Option<u8> {
         let byte = self.stream.read_u8().await.ok()?;
-        self.seen.request_bytes.fetch_add(1, Ordering::SeqCst);
+        self.stats.request_bytes.fetch_add(1, Ordering::SeqCst);
         Some(byte)
     }
 
-    /// Reads `size` bytes, or as many as come.
+    /// Reads `size` bytes, or fewer if the connection ends before.
     pub async fn bytes(&mut self, size: usize) -> Vec<u8> {
         let mut read = Vec::new();
         let mut rest = (&mut self.stream).take(size as u64);
-        // A broken connection ends what comes.
+        // An error counts as the end of the connection.
         let _broken = rest.read_to_end(&mut read).await;
-        self.seen.request_bytes.fetch_add(read.len(), Ordering::SeqCst);
+        self.stats.request_bytes.fetch_add(read.len(), Ordering::SeqCst);
         read
     }
 
-    /// Reads one request with a `Content-Length`, or none; counts it when it is whole.
+    /// Reads a request and counts it; returns `None` if the connection ends before it is complete.
     pub async fn request(&mut self) -> Option<String> {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
@@ -208,9 +208,9 @@
         if self.bytes(size).await.len() < size {
             return None;
         }
-        self.seen.requests.fetch_add(1, Ordering::SeqCst);
+        self.stats.requests.fetch_add(1, Ordering::SeqCst);
         if let Some(mark) = header_number(&text, "mark") {
-            self.seen.marks.lock().expect("lock").push(mark);
+            self.stats.marks.lock().expect("lock").push(mark);
         }
         Some(text)
     }
@@ -219,12 +219,12 @@
         let _ = self.stream.write_all(bytes).await;
     }
 
-    /// Ends the connection with a reset in place of an orderly close.
+    /// Closes the connection with a reset instead of an orderly close.
     pub fn reset(self) {
         self.stream.set_zero_linger().expect("linger");
     }
 
-    /// Reads on until the other side closes, counting what still comes.
+    /// Reads and counts bytes until the other side closes the connection.
     pub async fn drain(mut self) {
         while self.byte().await.is_some() {}
     }
--- a/crates/exchange/tests/support/front.rs
+++ b/crates/exchange/tests/support/test_server.rs
@@ -1,4 +1,4 @@
-//! A served port whose endpoint reads requests whole, and raw callers of it.
+//! A served port whose endpoint reads complete requests, and raw TCP connections to it.
 
 #![allow(dead_code, missing_docs, reason = "each test file uses its part")]
 
@@ -17,26 +17,26 @@
 use tokio::sync::{Notify, Semaphore};
 use tokio::task::JoinHandle;
 
-/// Long enough that no test meets it by the machine's slowness.
-const LONG: Duration = Duration::from_secs(30);
+/// Long enough that no test reaches it on a slow machine.
+const TIMEOUT: Duration = Duration::from_secs(30);
 pub const BODY_MAX: Bytes = Bytes::new(1000);
 
-/// Answers a whole request with its parts as text; `/hold` waits until it is let go.
+/// Answers a complete request with its parts as text; `/hold` waits for a permit of `release`.
 #[derive(Debug)]
-pub struct Echo {
+pub struct EchoEndpoint {
     pub limits: BodyLimits,
     pub budget: BodyBudget,
-    pub held: Notify,
+    pub on_hold: Notify,
     pub release: Semaphore,
 }
 
-impl Echo {
+impl EchoEndpoint {
     pub fn new() -> Self {
-        let limits = BodyLimits { body_max: BODY_MAX, body_timeout: LONG };
+        let limits = BodyLimits { body_max: BODY_MAX, body_timeout: TIMEOUT };
         Self {
             limits,
             budget: BodyBudget::new(Bytes::from_kib(8)),
-            held: Notify::new(),
+            on_hold: Notify::new(),
             release: Semaphore::new(0),
         }
     }
@@ -52,32 +52,32 @@
     }
 }
 
-/// The endpoint that [`Front`] serves.
-struct Shared(Arc<Echo>);
+/// The endpoint that [`TestServer`] serves.
+struct SharedEcho(Arc<EchoEndpoint>);
 
-impl Endpoint for Shared {
+impl Endpoint for SharedEcho {
     type Output = Response;
 
     async fn call(&self, request: Request) -> poem::Result<Response> {
         let echo = &self.0;
-        let whole = match read_request(request, &echo.limits, &echo.budget).await {
-            Ok(whole) => whole,
-            Err(refusal) => return Ok(refused(&refusal)),
+        let buffered = match read_request(request, &echo.limits, &echo.budget).await {
+            Ok(buffered) => buffered,
+            Err(rejection) => return Ok(reject(&rejection)),
         };
-        if whole.path_and_query.path() == "/hold" {
-            echo.held.notify_one();
+        if buffered.path_and_query.path() == "/hold" {
+            echo.on_hold.notify_one();
             let _ = echo.release.acquire().await;
         }
-        Ok(Response::builder().body(describe(&whole)))
+        Ok(Response::builder().body(describe(&buffered)))
     }
 }
 
-fn refused(refusal: &Rejection) -> Response {
-    refusal.problem().into_response()
+fn reject(rejection: &Rejection) -> Response {
+    rejection.problem().into_response()
 }
 
-fn describe(whole: &BufferedRequest) -> String {
-    let mut headers: Vec<_> = whole
+fn describe(buffered: &BufferedRequest) -> String {
+    let mut headers: Vec<_> = buffered
         .headers
         .iter()
         .map(|(name, value)| format!("{name}: {}", value.to_str().expect("text")))
@@ -85,51 +85,51 @@
     headers.sort();
     format!(
         "{} {} of {}\n{}\n{:?}\n{} body bytes",
-        whole.method,
-        whole.path_and_query,
-        whole.service,
+        buffered.method,
+        buffered.path_and_query,
+        buffered.service,
         headers.join("\n"),
-        whole.control,
-        whole.body.len(),
+        buffered.control,
+        buffered.body.len(),
     )
 }
 
 /// A port that is being served.
 #[derive(Debug)]
-pub struct Front {
+pub struct TestServer {
     pub address: SocketAddr,
-    pub echo: Arc<Echo>,
+    pub echo: Arc<EchoEndpoint>,
     pub control: ServeControl,
     pub served: JoinHandle<Result<(), ServeError>>,
 }
 
-impl Front {
-    pub async fn start(echo: Echo, config: ServeConfig) -> Self {
+impl TestServer {
+    pub async fn start(echo: EchoEndpoint, config: ServeConfig) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
         let echo = Arc::new(echo);
         let control = ServeControl::new();
-        let serving = serve(listener, Shared(Arc::clone(&echo)), config, control.clone());
+        let serving = serve(listener, SharedEcho(Arc::clone(&echo)), config, control.clone());
         Self { address, echo, control, served: tokio::spawn(serving) }
     }
 
     pub async fn plain() -> Self {
-        Self::start(Echo::new(), ServeConfig::default()).await
+        Self::start(EchoEndpoint::new(), ServeConfig::default()).await
     }
 
     pub async fn connect(&self) -> TcpStream {
         TcpStream::connect(self.address).await.expect("connect")
     }
 
-    /// Sends a complete request on a connection of its own and reads its answer.
-    pub async fn ask(&self, request: &str) -> String {
+    /// Sends a complete request on a new connection and reads its answer.
+    pub async fn send(&self, request: &str) -> String {
         let mut stream = self.connect().await;
         stream.write_all(request.as_bytes()).await.expect("write");
         read_answer(&mut stream).await
     }
 
-    /// Sends the beginning of a request, ends the sending side, and reads to the end.
-    pub async fn ask_cut(&self, beginning: &str) -> String {
+    /// Sends the beginning of a request, shuts down the write side, and reads to the end.
+    pub async fn send_truncated(&self, beginning: &str) -> String {
         let mut stream = self.connect().await;
         stream.write_all(beginning.as_bytes()).await.expect("write");
         stream.shutdown().await.expect("shutdown");
@@ -137,10 +137,10 @@
     }
 }
 
-/// Reads until the other side ends the connection, in whatever way.
+/// Reads until the server closes or resets the connection.
 pub async fn read_to_end(mut stream: TcpStream) -> String {
     let mut read = Vec::new();
-    let reading = tokio::time::timeout(LONG, stream.read_to_end(&mut read));
+    let reading = tokio::time::timeout(TIMEOUT, stream.read_to_end(&mut read));
     let _ = reading.await.expect("the connection stays open");
     String::from_utf8(read).expect("text")
 }
