--- a/crates/exchange/src/attempt.rs
+++ b/crates/exchange/src/attempt.rs
@@ -135,9 +135,9 @@
 pub enum FailureCause {
     /// The deadline passed before the first byte was sent.
     DeadlinePassed,
-    /// No connection could be opened within the connect timeout.
+    /// No connection could be opened, or not within the connect timeout.
     ConnectFailed,
-    /// The [`ConnectionGate`](crate::ConnectionGate) refused a new connection.
+    /// The [`ConnectionGate`](crate::ConnectionGate) rejected a new connection.
     ConnectRefusedByGate,
     /// The request can't be written, for example because its request target is not a path.
     BadRequest,
--- a/crates/exchange/src/gate.rs
+++ b/crates/exchange/src/gate.rs
@@ -15,8 +15,8 @@
 
 /// Decides whether and when a connection to a target may be opened.
 ///
-/// A new connection costs a target CPU time: when many entries reconnect at once, they slow down
-/// the very requests that they want to send.
+/// A new connection costs a target CPU time, so many entries that reconnect at once slow down their
+/// own requests.
 pub trait ConnectionGate: Debug + Send + Sync {
     /// Waits until one more connection to `target` may be opened; returns `None` to reject it.
     fn open(
--- a/crates/exchange/src/serve.rs
+++ b/crates/exchange/src/serve.rs
@@ -93,7 +93,7 @@
         self.shared.connections.load(Ordering::Relaxed)
     }
 
-    /// Returns the number of requests without a complete answer.
+    /// Returns the number of requests whose answer is not ready yet.
     pub fn in_flight(&self) -> usize {
         self.shared.in_flight.load(Ordering::Relaxed)
     }
