--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -7,7 +7,7 @@
 use arc_swap::ArcSwap;
 use shallotfork_balance::{PriorWaitEstimator, SlotPoolConfig};
 use shallotfork_events::slog::Logger;
-use shallotfork_exchange::{BodyBudget, ServeControl, TargetLinks};
+use shallotfork_exchange::{BodyBudget, ServeControl, TargetConnections};
 use shallotfork_lifecycle::Phase;
 use shallotfork_measure::{RateLimits, SchedulingDelay};
 use shallotfork_quarantine::{FingerprintKey, Quarantine};
@@ -51,7 +51,7 @@
     /// Control of the callers' port.
     pub callers: ServeControl,
     /// Connections to targets.
-    pub links: TargetLinks,
+    pub links: TargetConnections,
     /// Counts of load probes of targets, by outcome.
     pub probe_counts: ProbeCounters,
     /// Budget for the bodies held in memory.
--- a/crates/gateway/src/control/publish.rs
+++ b/crates/gateway/src/control/publish.rs
@@ -119,7 +119,7 @@
     log_evacuations(state, evacuated);
     for change in changed {
         let (RosterChange::Restarted(id) | RosterChange::Left(id)) = change else { continue };
-        context.links.forget(id);
+        context.links.close_idle(id);
         lock(&context.rate_limits).forget(id);
         if matches!(change, RosterChange::Restarted(_)) {
             context.services.all().iter().for_each(|(_, slots)| slots.reset_target(id));
--- a/crates/gateway/src/control/thread.rs
+++ b/crates/gateway/src/control/thread.rs
@@ -149,7 +149,7 @@
             _ = cleanup.tick() => {
                 expire_targets(&state);
                 mark_settled(&state);
-                state.context.links.tidy();
+                state.context.links.prune_idle();
                 lock(&state.context.quarantine).expire(state.now());
                 expire_rate_limits(&state.context);
             }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -10,7 +10,8 @@
 use rand::RngExt;
 use shallotfork_events::{LogConfig, LogOutput, logger};
 use shallotfork_exchange::{
-    BodyBudget, LinkConfig, ServeConfig, ServeControl, TargetLinks, serve, serve_early,
+    BodyBudget, ConnectionConfig, ServeConfig, ServeControl, TargetConnections, serve,
+    serve_pipelined,
 };
 use shallotfork_lifecycle::{Process, Starting};
 use shallotfork_peer::PeerKey;
@@ -97,7 +98,7 @@
         published: ArcSwap::from_pointee(Published::default()),
         fleet: ArcSwap::from_pointee(FleetSnapshot::default()),
         callers: ServeControl::new(),
-        links: TargetLinks::new(LinkConfig::default(), body_budget.clone()),
+        links: TargetConnections::new(ConnectionConfig::default(), body_budget.clone()),
         probe_counts: ProbeCounters::default(),
         body_budget,
         services: Services::default(),
@@ -178,7 +179,7 @@
     let shared = Arc::clone(&context);
     let early = Arc::new(move |head: &http::request::Parts| may_begin_early(&shared, head));
     let config = ServeConfig::default();
-    tokio::spawn(serve_early(listener, endpoint, config, callers, early));
+    tokio::spawn(serve_pipelined(listener, endpoint, config, callers, early));
     tokio::spawn(run_probes(Arc::clone(&context)));
     tokio::spawn(monitor_scheduling_delay(Arc::clone(&context)));
     tokio::spawn(report_service_load(Arc::clone(&context), TimerService::new(context.clock)));
--- a/crates/gateway/src/traffic/attempt_outcome.rs
+++ b/crates/gateway/src/traffic/attempt_outcome.rs
@@ -3,7 +3,7 @@
 use http::StatusCode;
 use http::header::CONTENT_ENCODING;
 use shallotfork_balance::{SlotOutcome, TargetLoad};
-use shallotfork_exchange::{AttemptFailure, FailureCause, WholeAnswer};
+use shallotfork_exchange::{AttemptFailure, BufferedAnswer, FailureCause};
 use shallotfork_types::Verdict;
 
 use crate::dialect::Dialect;
@@ -12,9 +12,9 @@
 #[derive(Debug)]
 pub enum AttemptOutcome {
     /// The target's answer, to be forwarded to the caller.
-    Answered(WholeAnswer),
+    Answered(BufferedAnswer),
     /// The target answered with a server error: the request ran and failed.
-    ServerError(WholeAnswer),
+    ServerError(BufferedAnswer),
     /// The request was not sent, for example because no connection could be opened.
     NotSent,
     /// The target reported that it has not run the request and will not run it.
@@ -29,7 +29,7 @@
 /// header or by status 421. An unsigned success is not the target's complete answer.
 pub fn classify_attempt(
     dialect: &Dialect,
-    result: Result<WholeAnswer, AttemptFailure>,
+    result: Result<BufferedAnswer, AttemptFailure>,
 ) -> AttemptOutcome {
     let answer = match result {
         Ok(answer) => answer,
@@ -50,14 +50,14 @@
     AttemptOutcome::Answered(answer)
 }
 
-fn reports_not_run(dialect: &Dialect, answer: &WholeAnswer) -> bool {
+fn reports_not_run(dialect: &Dialect, answer: &BufferedAnswer) -> bool {
     answer.headers.contains_key(&dialect.headers.not_run)
         || answer.status == StatusCode::MISDIRECTED_REQUEST
 }
 
 /// Whether the connection failed before the whole answer was read, as happens when the target
 /// crashes.
-pub fn target_may_have_crashed(result: &Result<WholeAnswer, AttemptFailure>) -> bool {
+pub fn target_may_have_crashed(result: &Result<BufferedAnswer, AttemptFailure>) -> bool {
     let cause = result.as_ref().err().map(AttemptFailure::cause);
     matches!(cause, Some(FailureCause::ConnectionLost | FailureCause::AnswerIncomplete))
 }
@@ -65,7 +65,7 @@
 /// Returns the outcome that the slot pool records for the target.
 pub fn slot_outcome(
     dialect: &Dialect,
-    result: &Result<WholeAnswer, AttemptFailure>,
+    result: &Result<BufferedAnswer, AttemptFailure>,
     latency: std::time::Duration,
 ) -> SlotOutcome {
     match result {
@@ -76,7 +76,7 @@
         Err(failure) => match failure.cause() {
             FailureCause::ConnectFailed => SlotOutcome::Unreachable,
             FailureCause::Timeout => SlotOutcome::TimedOut,
-            FailureCause::BudgetFull | FailureCause::TooLate | FailureCause::BadRequest => {
+            FailureCause::BudgetFull | FailureCause::DeadlinePassed | FailureCause::BadRequest => {
                 SlotOutcome::Cancelled
             }
             _ => SlotOutcome::Failed,
@@ -85,7 +85,7 @@
 }
 
 /// Returns the load that a target reported with its answer; `None` if it is missing or invalid.
-pub fn parse_reported_load(dialect: &Dialect, answer: &WholeAnswer) -> Option<TargetLoad> {
+pub fn parse_reported_load(dialect: &Dialect, answer: &BufferedAnswer) -> Option<TargetLoad> {
     let text = answer.headers.get(&dialect.headers.load)?.to_str().ok()?;
     (dialect.parse_load)(text)
 }
--- a/crates/gateway/src/traffic/attempts.rs
+++ b/crates/gateway/src/traffic/attempts.rs
@@ -11,7 +11,9 @@
 use http_body_util::Full;
 use shallotfork_balance::{RetryAllowance, Shed, SlotOutcome};
 use shallotfork_events::{ATTEMPT_FAILED, event};
-use shallotfork_exchange::{AnswerOwner, AttemptFailure, LinkRequest, Purpose, WholeAnswer};
+use shallotfork_exchange::{
+    AnswerMatch, AttemptFailure, BufferedAnswer, ConnectionPurpose, TargetRequest,
+};
 use shallotfork_quarantine::SendKind;
 use shallotfork_types::{Endpoint, FailureDomain, Permille, TargetId, Verdict};
 
@@ -46,7 +48,7 @@
 #[derive(Debug)]
 pub enum RequestOutcome {
     /// A target answered.
-    Answered(WholeAnswer),
+    Answered(BufferedAnswer),
     /// No further attempt was admitted; the request has not run at any target.
     Rejected(Shed),
     /// The request was not run by any of the targets that it was sent to.
@@ -107,7 +109,7 @@
             Ok(slot) => slot,
             Err(shed) => return history.complete_without_slot(shed),
         };
-        if routed.caller.has_left() {
+        if routed.caller.is_closed() {
             return history.complete(RequestOutcome::CallerLeft);
         }
         // Checks again, since other runs may have started or ended while the request waited.
@@ -181,7 +183,7 @@
     queued: Duration,
     may_have_run: bool,
     /// Server error of a target, forwarded to the caller if no later attempt is answered.
-    server_error: Option<WholeAnswer>,
+    server_error: Option<BufferedAnswer>,
 }
 
 impl AttemptHistory {
@@ -272,7 +274,7 @@
     let Some(second) = slots.assign_hedge(&routed.slot_request(&history.excluded)) else {
         return first.await;
     };
-    if routed.caller.has_left()
+    if routed.caller.is_closed()
         || !is_clear(routed)
         || !slots.try_acquire_retry(retry_allowance(&routed.context))
     {
@@ -318,15 +320,15 @@
         answer_owner(context, &routed.request_id, headers)
     };
     let repeatable = routed.is_idempotent();
-    let link_request = LinkRequest {
+    let link_request = TargetRequest {
         target: &target,
         endpoint,
         request,
         timeout,
         repeatable,
-        owner: &owner,
-        purpose: Purpose::Request,
-        opened: &|| {},
+        answer_match: &owner,
+        purpose: ConnectionPurpose::Request,
+        on_opened: &|| {},
     };
     let is_cold = slot.mark_sent();
     let sent_bytes = message_bytes(link_request.request.headers(), routed.request.body.len());
@@ -383,7 +385,7 @@
 fn log_failed_attempt(
     routed: &RoutedRequest,
     target: &TargetId,
-    result: &Result<WholeAnswer, AttemptFailure>,
+    result: &Result<BufferedAnswer, AttemptFailure>,
     attempt: &AttemptDetails,
 ) {
     let AttemptDetails { outcome, latency, crashed } = attempt;
@@ -431,13 +433,13 @@
 ///
 /// A signed answer without an id is foreign: a success must prove which request it belongs to. An
 /// unsigned answer without an id can only be a failure and counts as an answer to this request.
-fn answer_owner(context: &Context, request_id: &str, headers: &HeaderMap) -> AnswerOwner {
+fn answer_owner(context: &Context, request_id: &str, headers: &HeaderMap) -> AnswerMatch {
     let echoed = headers.get(&context.dialect.headers.request_id);
     match echoed {
-        Some(id) if id.as_bytes() == request_id.as_bytes() => AnswerOwner::Own,
-        Some(_) => AnswerOwner::Foreign,
-        None if headers.contains_key(&context.dialect.headers.signature) => AnswerOwner::Foreign,
-        None => AnswerOwner::Own,
+        Some(id) if id.as_bytes() == request_id.as_bytes() => AnswerMatch::Match,
+        Some(_) => AnswerMatch::Mismatch,
+        None if headers.contains_key(&context.dialect.headers.signature) => AnswerMatch::Mismatch,
+        None => AnswerMatch::Match,
     }
 }
 
--- a/crates/gateway/src/traffic/caller_requests.rs
+++ b/crates/gateway/src/traffic/caller_requests.rs
@@ -9,7 +9,9 @@
 use shallotfork_events::{
     CALLER_LEFT, CALLER_REFUSED, REQUEST_ANSWERED, REQUEST_NOT_ANSWERED, event,
 };
-use shallotfork_exchange::{ArrivedAt, BodyLimits, CallerPresence, WholeRequest, read_whole};
+use shallotfork_exchange::{
+    ArrivedAt, BodyLimits, BufferedRequest, CallerConnection, read_request,
+};
 use shallotfork_routes::RepeatPolicy;
 use shallotfork_types::{Bytes, Mono, TargetId};
 
@@ -30,7 +32,7 @@
 /// Handles one request of a caller.
 pub async fn handle_request(context: Arc<Context>, request: poem::Request) -> poem::Response {
     let arrived_at = arrival_time(&context, &request);
-    let Some(caller) = request.extensions().get::<CallerPresence>().cloned() else {
+    let Some(caller) = request.extensions().get::<CallerConnection>().cloned() else {
         return bad_request("the request came on no connection");
     };
     context.request_started.notify_one();
@@ -41,7 +43,7 @@
         .as_ref()
         .map_or(DEFAULT_BODY_MAX, |table| table.limits().body_max);
     let limits = BodyLimits { body_max, body_timeout: BODY_TIMEOUT };
-    let request = match read_whole(request, &limits, &context.body_budget).await {
+    let request = match read_request(request, &limits, &context.body_budget).await {
         Ok(request) => request,
         Err(error) => {
             event!(context.log, CALLER_REFUSED, "reason" => error.to_string());
@@ -123,7 +125,7 @@
 }
 
 /// Finds the route in force for a request, and the version of its table.
-fn find_route(context: &Context, request: &WholeRequest) -> Result<RouteMatch, RoutingFailure> {
+fn find_route(context: &Context, request: &BufferedRequest) -> Result<RouteMatch, RoutingFailure> {
     let published = context.published.load();
     let table = published.table.as_ref().ok_or(RoutingFailure::Starting)?;
     let host = request.service.as_str().to_ascii_lowercase();
--- a/crates/gateway/src/traffic/probes.rs
+++ b/crates/gateway/src/traffic/probes.rs
@@ -9,7 +9,7 @@
 use http_body_util::Full;
 use metrics::counter;
 use shallotfork_events::{WARMUP_INVALID, event};
-use shallotfork_exchange::{AnswerOwner, LinkRequest, Purpose};
+use shallotfork_exchange::{AnswerMatch, ConnectionPurpose, TargetRequest};
 use shallotfork_types::{Endpoint, FailureDomain, ServiceName, TargetId};
 
 use crate::context::Context;
@@ -128,15 +128,15 @@
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = uri;
     TransferKind::Probes.record_bytes(&domain, message_bytes(request.headers(), 0));
-    let link_request = LinkRequest {
+    let link_request = TargetRequest {
         target,
         endpoint,
         request,
         timeout: PROBE_TIMEOUT,
         repeatable: true,
-        owner: &|_: StatusCode, _: &HeaderMap| AnswerOwner::Own,
-        purpose: Purpose::Probe,
-        opened: &|| is_accepted.store(true, Ordering::Relaxed),
+        answer_match: &|_: StatusCode, _: &HeaderMap| AnswerMatch::Match,
+        purpose: ConnectionPurpose::Probe,
+        on_opened: &|| is_accepted.store(true, Ordering::Relaxed),
     };
     counter!("shallotfork_probes").increment(1);
     context.probe_counts.record_sent();
--- a/crates/gateway/src/traffic/routed_request.rs
+++ b/crates/gateway/src/traffic/routed_request.rs
@@ -6,7 +6,7 @@
 use http::HeaderMap;
 use http::header::{AUTHORIZATION, COOKIE};
 use shallotfork_balance::{SlotRequest, WorkClass};
-use shallotfork_exchange::{CALLER_HEADER, CallerPresence, WholeRequest};
+use shallotfork_exchange::{BufferedRequest, CALLER_HEADER, CallerConnection};
 use shallotfork_quarantine::{RequestContent, RequestFingerprint};
 use shallotfork_routes::{RepeatPolicy, Route, TableVersion};
 use shallotfork_types::{Mono, ServiceName, TargetId};
@@ -33,7 +33,7 @@
     /// State shared by the threads of the process.
     pub context: Arc<Context>,
     /// The request with its complete body.
-    pub request: WholeRequest,
+    pub request: BufferedRequest,
     /// Id that the caller gave to this attempt.
     pub request_id: String,
     /// Route of the request.
@@ -51,7 +51,7 @@
     /// Time that the caller waited before it sent this request, estimated from its deadline.
     pub prior_wait: Duration,
     /// Whether the caller is still connected.
-    pub caller: CallerPresence,
+    pub caller: CallerConnection,
     /// Fingerprint of the request's content, computed on first use.
     fingerprint: OnceLock<RequestFingerprint>,
 }
@@ -60,11 +60,11 @@
     /// Creates a routed request: computes its objective and deadline and chooses a service.
     pub fn new(
         context: Arc<Context>,
-        request: WholeRequest,
+        request: BufferedRequest,
         request_id: String,
         matched: RouteMatch,
         arrived_at: Mono,
-        caller: CallerPresence,
+        caller: CallerConnection,
     ) -> Self {
         let RouteMatch { route, version } = matched;
         let caller_timeout = requested_timeout(&context, &request.headers).unwrap_or(route.timeout);
--- a/crates/gateway/src/traffic/service_load.rs
+++ b/crates/gateway/src/traffic/service_load.rs
@@ -7,7 +7,7 @@
 use metrics::gauge;
 use shallotfork_balance::SlotSummary;
 use shallotfork_events::{BEHIND, EVACUATION_RUNNING, SERVICE_LOAD, TARGET_CONNECTIONS, event};
-use shallotfork_exchange::Openings;
+use shallotfork_exchange::OpenedConnections;
 use shallotfork_timer::{Schedule, TimerService};
 use shallotfork_types::ServiceName;
 
@@ -49,14 +49,16 @@
 /// Connections opened and probes sent to targets since the start of the process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct TargetCounts {
-    openings: Openings,
+    openings: OpenedConnections,
     probes: ProbeTotals,
 }
 
 /// Logs the connections and probes since `before`. Returns the current counts.
 fn report_connections(context: &Context, before: TargetCounts) -> TargetCounts {
-    let now =
-        TargetCounts { openings: context.links.openings(), probes: context.probe_counts.read() };
+    let now = TargetCounts {
+        openings: context.links.opened_connections(),
+        probes: context.probe_counts.read(),
+    };
     if now != before {
         event!(context.log, TARGET_CONNECTIONS,
             "for_requests" => now.openings.requests - before.openings.requests,
