--- a/crates/shallotd/src/control/command.rs
+++ b/crates/shallotd/src/control/command.rs
@@ -81,7 +81,7 @@
     }
 
     /// The text of a list in force; `None` when there is none.
-    pub async fn list(&self, name: ListName) -> Option<String> {
+    pub async fn list_content(&self, name: ListName) -> Option<String> {
         self.ask(|reply| Command::List(name, reply)).await.flatten()
     }
 
--- a/crates/shallotd/src/control/thread.rs
+++ b/crates/shallotd/src/control/thread.rs
@@ -41,7 +41,7 @@
     /// Questions of the traffic threads.
     pub commands: mpsc::UnboundedReceiver<Command>,
     /// Bound port for other entries.
-    pub peers: StdListener,
+    pub peer_listener: StdListener,
     /// The key that entries prove to each other.
     pub key: PeerKey,
     /// Signs the sessions of this incarnation.
@@ -70,12 +70,12 @@
 }
 
 async fn run(parts: ControlParts) -> Result<()> {
-    let ControlParts { context, commands, peers, key, secret, ready } = parts;
+    let ControlParts { context, commands, peer_listener, key, secret, ready } = parts;
     let platform = Box::new(HttpPlatform::new(platform_config(&context))?);
     let state = Rc::new(state(context, platform, key.clone(), secret, ready));
     publish(&state);
     let timer = TimerService::new(state.context.clock);
-    let listener = TcpListener::from_std(peers).context("peers' port")?;
+    let listener = TcpListener::from_std(peer_listener).context("peers' port")?;
     let server = PeerServer::new(
         listener,
         key,
--- a/crates/shallotd/src/operator/mod.rs
+++ b/crates/shallotd/src/operator/mod.rs
@@ -64,7 +64,7 @@
     async fn list(&self, path: &str) -> Response {
         let name = path.strip_prefix(LISTS_PATH).and_then(|name| name.parse().ok());
         match name {
-            Some(name) => text(self.context.control.list(name).await),
+            Some(name) => text(self.context.control.list_content(name).await),
             None => StatusCode::NOT_FOUND.into_response(),
         }
     }
--- a/crates/shallotd/src/run.rs
+++ b/crates/shallotd/src/run.rs
@@ -111,7 +111,7 @@
     let parts = ControlParts {
         context: Arc::clone(&context),
         commands,
-        peers: ports.peers,
+        peer_listener: ports.peers,
         key,
         secret,
         ready,
