--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,26 +1,26 @@
-//! The life cycle of the process: starting, serving, leaving, stopped.
+//! Life cycle of a process: starting, serving, leaving, stopped.
 //!
-//! Each state is a type, so that for example nothing can be announced as serving before a list
-//! is in force, and nothing can go back from leaving to serving.
+//! Each state is a type, so that invalid transitions do not compile: for example, a process cannot
+//! serve before a list is in force, nor return from leaving to serving.
 
 use shallotfork_events::{LEAVING, SERVING, STARTED, STOPPED, event, slog::Logger};
 use tokio::sync::watch;
 
-/// The state as seen by the parts of the process that only watch it.
+/// Life cycle state, for parts of the process that only observe it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Nothing published is in force yet.
+    /// No published list is in force yet.
     Starting,
     /// Callers are served.
     Serving,
-    /// Requests are still served, but no answer names this VM any more.
+    /// Requests are still served, but this VM is no longer advertised to callers.
     Leaving,
-    /// Nothing is in flight; the process ends.
+    /// No request is in flight; the process ends.
     Stopped,
 }
 
 impl Phase {
-    /// The text used in reports.
+    /// Returns the name used in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Starting => "starting",
@@ -31,7 +31,7 @@
     }
 }
 
-/// State of a process that knows nothing published yet.
+/// State of a process without published lists.
 #[derive(Debug)]
 pub struct Starting;
 
@@ -39,11 +39,11 @@
 #[derive(Debug)]
 pub struct Serving;
 
-/// State of a process that was told to stop.
+/// State of a process that is being stopped.
 #[derive(Debug)]
 pub struct Leaving;
 
-/// The process in one state of its life cycle.
+/// A process in the life cycle state `S`.
 #[derive(Debug)]
 pub struct Process<S> {
     log: Logger,
@@ -52,14 +52,14 @@
 }
 
 impl Process<Starting> {
-    /// Starts the life cycle.
+    /// Creates a process in the starting state.
     pub fn new(log: Logger) -> Self {
         event!(log, STARTED);
         let (phase, _) = watch::channel(Phase::Starting);
         Self { log, phase, _state: Starting }
     }
 
-    /// What is published is in force: callers may be served.
+    /// Changes to serving, once the published lists are in force.
     pub fn serve(self) -> Process<Serving> {
         event!(self.log, SERVING);
         self.enter(Phase::Serving, Serving)
@@ -67,7 +67,7 @@
 }
 
 impl Process<Serving> {
-    /// The process was told to stop.
+    /// Changes to leaving, when the process is asked to stop.
     pub fn leave(self) -> Process<Leaving> {
         event!(self.log, LEAVING);
         self.enter(Phase::Leaving, Leaving)
@@ -75,7 +75,7 @@
 }
 
 impl Process<Leaving> {
-    /// Nothing is in flight any more.
+    /// Changes to stopped, once no request is in flight.
     pub fn stop(self) {
         event!(self.log, STOPPED);
         self.phase.send_replace(Phase::Stopped);
@@ -83,7 +83,7 @@
 }
 
 impl<S> Process<S> {
-    /// Watches the state.
+    /// Returns a receiver for the current state.
     pub fn watch(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
--- a/crates/shallotd/src/control/audit.rs
+++ b/crates/shallotd/src/control/audit.rs
@@ -1,20 +1,20 @@
-//! The trail of changes of published lists, kept in memory.
+//! Audit trail of changes to published lists, kept in memory.
 
 use std::collections::VecDeque;
 
 use shallotfork_types::report::AuditChange;
 
-/// Changes remembered; older ones are in the log only.
+/// Maximum number of changes kept; older ones are only in the log.
 const CHANGES_MAX: usize = 1000;
 
-/// The latest changes, oldest first.
+/// The most recent changes, oldest first.
 #[derive(Debug, Default)]
 pub struct AuditTrail {
     changes: VecDeque<AuditChange>,
 }
 
 impl AuditTrail {
-    /// Adds a change; the oldest one gives way.
+    /// Adds a change and drops the oldest one if the trail is full.
     pub fn add(&mut self, change: AuditChange) {
         if self.changes.len() == CHANGES_MAX {
             self.changes.pop_front();
@@ -22,7 +22,7 @@
         self.changes.push_back(change);
     }
 
-    /// The changes, oldest first.
+    /// Returns the changes, oldest first.
     pub fn changes(&self) -> Vec<AuditChange> {
         self.changes.iter().cloned().collect()
     }
--- a/crates/shallotd/src/control/command.rs
+++ b/crates/shallotd/src/control/command.rs
@@ -1,4 +1,4 @@
-//! Questions of the traffic threads to the control thread.
+//! Commands that the traffic threads send to the control thread.
 
 use shallotfork_once::{ClaimId, Completion, OperationId, Session};
 use shallotfork_types::ListName;
@@ -7,95 +7,97 @@
 
 use crate::control::operations::Decision;
 
-/// One question, with where to send the answer.
+/// A command, with the channel for its reply.
 pub enum Command {
-    /// A new session; `None` while leaving.
+    /// Issues a session; replies `None` if no entry can issue one.
     Issue(oneshot::Sender<Option<Session>>),
-    /// Leave to run an operation.
+    /// Requests a grant to run an operation.
     Claim(OperationId, ClaimId, oneshot::Sender<Decision>),
-    /// An operation shall never run, unless it was granted to somebody else.
+    /// Ensures that an operation never runs, unless it was granted to another claim.
     Close(OperationId, ClaimId, oneshot::Sender<Decision>),
-    /// The end of an operation; answers whether its issuer recorded it.
+    /// Reports the completion of an operation; replies whether its issuer recorded it.
     Complete(OperationId, ClaimId, Completion, oneshot::Sender<bool>),
-    /// What operators see.
+    /// Returns the status report for operators.
     Status(oneshot::Sender<StatusReport>),
-    /// The trail of changes.
+    /// Returns the audit trail.
     Audit(oneshot::Sender<AuditReport>),
-    /// The text of a list in force; `None` until one was accepted.
+    /// Returns the content of a list in force; `None` until a version was accepted.
     List(ListName, oneshot::Sender<Option<String>>),
-    /// Take this VM out of answers and tell the peers.
+    /// Stops advertising this VM to callers and announces to its peers that it is leaving.
     Leave(oneshot::Sender<()>),
-    /// Seal the ledger and hand it to peers.
+    /// Seals the ledger and hands copies of it to peers.
     Seal(oneshot::Sender<()>),
 }
 
-/// Sends questions to the control thread.
+/// Sends commands to the control thread.
 #[derive(Clone)]
 pub struct ControlHandle {
     commands: mpsc::UnboundedSender<Command>,
 }
 
 impl ControlHandle {
-    /// A handle and the end that the control thread reads.
+    /// Creates a handle and the receiver that the control thread reads.
     pub fn new() -> (Self, mpsc::UnboundedReceiver<Command>) {
         let (commands, receiver) = mpsc::unbounded_channel();
         (Self { commands }, receiver)
     }
 
-    /// A new session; `None` while this process is leaving.
+    /// Issues a session, at a peer if this process is leaving; `None` if no entry can issue one.
     pub async fn issue(&self) -> Option<Session> {
-        self.ask(Command::Issue).await.flatten()
+        self.request(Command::Issue).await.flatten()
     }
 
-    /// Asks the issuer of the session for leave to run the operation.
+    /// Requests a grant to run the operation from the issuer of its session.
     pub async fn claim(&self, operation: &OperationId, claim: &ClaimId) -> Decision {
-        let ask = |reply| Command::Claim(operation.clone(), claim.clone(), reply);
-        self.ask(ask).await.unwrap_or(Decision::Unreachable)
+        let command = |reply| Command::Claim(operation.clone(), claim.clone(), reply);
+        self.request(command).await.unwrap_or(Decision::Unreachable)
     }
 
-    /// Asks the issuer of the session to see to it that the operation never runs.
+    /// Requests the issuer of the session to ensure that the operation never runs, unless it was
+    /// granted to another claim.
     pub async fn close(&self, operation: &OperationId, claim: &ClaimId) -> Decision {
-        let ask = |reply| Command::Close(operation.clone(), claim.clone(), reply);
-        self.ask(ask).await.unwrap_or(Decision::Unreachable)
+        let command = |reply| Command::Close(operation.clone(), claim.clone(), reply);
+        self.request(command).await.unwrap_or(Decision::Unreachable)
     }
 
-    /// Tells the issuer how the operation ended; returns whether it recorded that.
+    /// Reports to the issuer how the operation ended; returns whether the issuer recorded it.
     pub async fn complete(
         &self,
         operation: &OperationId,
         claim: &ClaimId,
         completion: Completion,
     ) -> bool {
-        let ask = |reply| Command::Complete(operation.clone(), claim.clone(), completion, reply);
-        self.ask(ask).await.unwrap_or(false)
+        let command =
+            |reply| Command::Complete(operation.clone(), claim.clone(), completion, reply);
+        self.request(command).await.unwrap_or(false)
     }
 
-    /// What operators see; `None` when the control thread has ended.
+    /// Returns the status report for operators; `None` if the control thread has ended.
     pub async fn status(&self) -> Option<StatusReport> {
-        self.ask(Command::Status).await
+        self.request(Command::Status).await
     }
 
-    /// The trail of changes; `None` when the control thread has ended.
+    /// Returns the audit trail; `None` if the control thread has ended.
     pub async fn audit(&self) -> Option<AuditReport> {
-        self.ask(Command::Audit).await
+        self.request(Command::Audit).await
     }
 
-    /// The text of a list in force; `None` when there is none.
+    /// Returns the content of a list in force; `None` if there is none.
     pub async fn list_content(&self, name: ListName) -> Option<String> {
-        self.ask(|reply| Command::List(name, reply)).await.flatten()
+        self.request(|reply| Command::List(name, reply)).await.flatten()
     }
 
-    /// Takes this VM out of answers and tells the peers.
+    /// Stops advertising this VM to callers and announces to its peers that it is leaving.
     pub async fn leave(&self) {
-        self.ask(Command::Leave).await;
+        self.request(Command::Leave).await;
     }
 
-    /// Seals the ledger and hands it to peers.
+    /// Seals the ledger and hands copies of it to peers.
     pub async fn seal(&self) {
-        self.ask(Command::Seal).await;
+        self.request(Command::Seal).await;
     }
 
-    async fn ask<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> Command) -> Option<T> {
+    async fn request<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> Command) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         self.commands.send(command(reply)).ok()?;
         answer.await.ok()
--- a/crates/shallotd/src/control/ledger.rs
+++ b/crates/shallotd/src/control/ledger.rs
@@ -1,4 +1,4 @@
-//! Sessions issued here and the sealed ledgers of entries that left.
+//! Sessions issued by this process and the sealed ledgers of entries that left.
 
 use std::time::Duration;
 
@@ -10,46 +10,46 @@
 use shallotfork_types::report::SessionStatus;
 use shallotfork_types::{Incarnation, Mono, VmId};
 
-/// The issuer in one of its states.
-enum Issuing {
+/// The issuer in its current state.
+enum IssuerState {
     Open(Issuer<Open>),
     Draining(Issuer<Draining>),
     Sealed,
 }
 
-/// The ledger of this process and the archive beside it.
+/// The ledger of this process and the archive of sealed ledgers.
 pub struct Ledger {
-    issuing: Issuing,
-    own: PeerId,
+    issuer_state: IssuerState,
+    own_id: PeerId,
     archive: Archive,
     issued: u64,
-    alarmed_at: Option<Mono>,
+    full_logged_at: Option<Mono>,
 }
 
-/// Refusals for want of room are logged at most this often.
-const ALARM_PERIOD: Duration = Duration::from_secs(10);
+/// Minimum time between two log events about claims rejected because the ledger is full.
+const FULL_LOG_PERIOD: Duration = Duration::from_secs(10);
 
 impl Ledger {
-    /// A ledger that grants operations.
-    pub fn new(issuer: Issuer<Open>, own: PeerId, config: OnceConfig) -> Self {
+    /// Creates a ledger that grants operations.
+    pub fn new(issuer: Issuer<Open>, own_id: PeerId, config: OnceConfig) -> Self {
         Self {
-            issuing: Issuing::Open(issuer),
-            own,
+            issuer_state: IssuerState::Open(issuer),
+            own_id,
             archive: Archive::new(config),
             issued: 0,
-            alarmed_at: None,
+            full_logged_at: None,
         }
     }
 
-    /// A new session; `None` while leaving.
+    /// Issues a session; `None` once draining has begun.
     pub fn issue(&mut self, now: Mono) -> Option<Session> {
-        let Issuing::Open(issuer) = &mut self.issuing else { return None };
+        let IssuerState::Open(issuer) = &mut self.issuer_state else { return None };
         self.issued += 1;
         Some(issuer.issue(now))
     }
 
-    /// Grants an operation or says what is known of it; `None` when it is not for this process to
-    /// say.
+    /// Grants an operation or returns its known state; `None` if neither this issuer nor an
+    /// archived ledger covers it.
     pub fn claim(
         &mut self,
         operation: &OperationId,
@@ -62,15 +62,15 @@
         if !self.is_issuer_of(operation) {
             return None;
         }
-        match &mut self.issuing {
-            Issuing::Open(issuer) => Some(issuer.claim(operation, claim, now)),
-            Issuing::Draining(issuer) => Some(issuer.claim(operation, now)),
-            Issuing::Sealed => None,
+        match &mut self.issuer_state {
+            IssuerState::Open(issuer) => Some(issuer.claim(operation, claim, now)),
+            IssuerState::Draining(issuer) => Some(issuer.claim(operation, now)),
+            IssuerState::Sealed => None,
         }
     }
 
-    /// Makes sure that an operation never runs, unless somebody else was granted it; `None` when
-    /// it is not for this process to say.
+    /// Ensures that an operation never runs, unless it was granted to another claim; `None` if
+    /// neither this issuer nor an archived ledger covers it.
     pub fn close(
         &mut self,
         operation: &OperationId,
@@ -83,23 +83,23 @@
         if !self.is_issuer_of(operation) {
             return None;
         }
-        match &mut self.issuing {
-            Issuing::Open(issuer) => Some(issuer.close(operation, claim, now)),
-            Issuing::Draining(issuer) => Some(issuer.close(operation, claim, now)),
-            Issuing::Sealed => None,
+        match &mut self.issuer_state {
+            IssuerState::Open(issuer) => Some(issuer.close(operation, claim, now)),
+            IssuerState::Draining(issuer) => Some(issuer.close(operation, claim, now)),
+            IssuerState::Sealed => None,
         }
     }
 
-    /// Whether a refusal for want of room is to be logged now.
-    pub fn is_alarm_due(&mut self, now: Mono) -> bool {
-        let due = self.alarmed_at.is_none_or(|at| now.since(at) >= ALARM_PERIOD);
-        if due {
-            self.alarmed_at = Some(now);
+    /// Returns whether to log now that the ledger is full, and records the log event if so.
+    pub fn is_full_log_due(&mut self, now: Mono) -> bool {
+        let is_due = self.full_logged_at.is_none_or(|at| now.since(at) >= FULL_LOG_PERIOD);
+        if is_due {
+            self.full_logged_at = Some(now);
         }
-        due
+        is_due
     }
 
-    /// Records how an operation ended; `None` when it is not for this process to record.
+    /// Records how an operation ended; `None` if this incarnation did not issue its session.
     pub fn complete(
         &mut self,
         operation: &OperationId,
@@ -111,44 +111,44 @@
             return None;
         }
         let completion = completion.clone();
-        let answer = match &mut self.issuing {
-            Issuing::Open(issuer) => issuer.complete(operation, claim, completion, now),
-            Issuing::Draining(issuer) => issuer.complete(operation, claim, completion, now),
-            Issuing::Sealed => CompletionAnswer::Ignored,
+        let answer = match &mut self.issuer_state {
+            IssuerState::Open(issuer) => issuer.complete(operation, claim, completion, now),
+            IssuerState::Draining(issuer) => issuer.complete(operation, claim, completion, now),
+            IssuerState::Sealed => CompletionAnswer::Ignored,
         };
         Some(answer)
     }
 
-    /// Marks what an entry that is silent or has ended was running.
+    /// Marks the operations that a suspected or ended process was running as may-have-run.
     pub fn executor_lost(&mut self, executor: &VmId, incarnation: Incarnation) {
-        match &mut self.issuing {
-            Issuing::Open(issuer) => issuer.executor_lost(executor, incarnation),
-            Issuing::Draining(issuer) => issuer.executor_lost(executor, incarnation),
-            Issuing::Sealed => {}
+        match &mut self.issuer_state {
+            IssuerState::Open(issuer) => issuer.executor_lost(executor, incarnation),
+            IssuerState::Draining(issuer) => issuer.executor_lost(executor, incarnation),
+            IssuerState::Sealed => {}
         }
     }
 
-    /// Whether this run of the process issued the operation's session.
+    /// Returns whether this incarnation issued the operation's session.
     fn is_issuer_of(&self, operation: &OperationId) -> bool {
         let session = operation.session();
-        session.issuer() == &self.own.vm && session.incarnation() == self.own.incarnation
+        session.issuer() == &self.own_id.vm && session.incarnation() == self.own_id.incarnation
     }
 
-    /// Stops granting.
+    /// Stops granting operations.
     pub fn drain(&mut self, now: Mono) {
-        let issuing = std::mem::replace(&mut self.issuing, Issuing::Sealed);
-        self.issuing = match issuing {
-            Issuing::Open(issuer) => Issuing::Draining(issuer.drain(now)),
+        let issuer_state = std::mem::replace(&mut self.issuer_state, IssuerState::Sealed);
+        self.issuer_state = match issuer_state {
+            IssuerState::Open(issuer) => IssuerState::Draining(issuer.drain(now)),
             other => other,
         };
     }
 
-    /// Fixes the ledger for good and keeps a copy, so that this process goes on answering for its
-    /// sessions; `None` when it was fixed before.
+    /// Seals the ledger and archives a copy, so that this process continues to answer for its
+    /// sessions; `None` if the ledger was sealed before.
     pub fn seal(&mut self, now: Mono) -> Option<SealedLedger> {
         self.drain(now);
-        match std::mem::replace(&mut self.issuing, Issuing::Sealed) {
-            Issuing::Draining(issuer) => {
+        match std::mem::replace(&mut self.issuer_state, IssuerState::Sealed) {
+            IssuerState::Draining(issuer) => {
                 let sealed = issuer.seal(now);
                 self.archive.add(sealed.clone(), now);
                 Some(sealed)
@@ -157,51 +157,53 @@
         }
     }
 
-    /// Number of operations that were granted and have not ended.
+    /// Returns the number of granted operations that have not ended.
     pub fn running(&self) -> usize {
-        match &self.issuing {
-            Issuing::Open(issuer) => issuer.running(),
-            Issuing::Draining(issuer) => issuer.running(),
-            Issuing::Sealed => 0,
+        match &self.issuer_state {
+            IssuerState::Open(issuer) => issuer.running(),
+            IssuerState::Draining(issuer) => issuer.running(),
+            IssuerState::Sealed => 0,
         }
     }
 
-    /// Keeps a part of the sealed ledger of an entry that leaves.
+    /// Adds a part of the sealed ledger of a leaving entry to the archive. Returns whether the part
+    /// was accepted.
     ///
-    /// What claims to be the ledger of this very process is refused: an archive goes before the
-    /// issuer, so it would stop an issuer that is open.
-    pub fn keep(&mut self, part: LedgerPart, now: Mono) -> bool {
+    /// A ledger with the identity of this incarnation is rejected: the archive is consulted before
+    /// the issuer, so it would override an issuer that is still open.
+    pub fn add_sealed_part(&mut self, part: LedgerPart, now: Mono) -> bool {
         let (vm, incarnation) = (&part.ledger.vm, part.ledger.incarnation);
-        let own = *vm == self.own.vm && incarnation == self.own.incarnation;
-        !own && self.archive.add_part(part, now)
+        let is_own = *vm == self.own_id.vm && incarnation == self.own_id.incarnation;
+        !is_own && self.archive.add_part(part, now)
     }
 
-    /// The sealed ledgers held for entries that left.
-    pub fn to_pass_on(&self, now: Mono) -> Vec<SealedLedger> {
+    /// Returns the sealed ledgers held for entries that left.
+    pub fn ledgers_to_forward(&self, now: Mono) -> Vec<SealedLedger> {
         self.archive.ledgers_to_forward(now)
     }
 
-    /// What a sealed ledger says of an operation; `None` when none of its issuer is held.
+    /// Returns the state of an operation in the sealed ledger of its issuer; `None` if the archive
+    /// has no such ledger.
     pub fn lookup(&self, operation: &OperationId) -> Option<ClaimAnswer> {
         self.archive.lookup(operation)
     }
 
-    /// Forgets sessions and sealed ledgers that have ended.
+    /// Removes ended sessions and expired sealed ledgers.
     pub fn expire(&mut self, now: Mono) {
         self.archive.expire(now);
-        match &mut self.issuing {
-            Issuing::Open(issuer) => issuer.expire(now),
-            Issuing::Draining(issuer) => issuer.expire(now),
-            Issuing::Sealed => {}
+        match &mut self.issuer_state {
+            IssuerState::Open(issuer) => issuer.expire(now),
+            IssuerState::Draining(issuer) => issuer.expire(now),
+            IssuerState::Sealed => {}
         }
     }
 
-    /// What operators see.
+    /// Returns the session status for operators.
     pub fn status(&self) -> SessionStatus {
-        let (operations, kept_bytes) = match &self.issuing {
-            Issuing::Open(issuer) => (issuer.operations(), issuer.kept_bytes()),
-            Issuing::Draining(issuer) => (issuer.operations(), issuer.kept_bytes()),
-            Issuing::Sealed => (0, 0),
+        let (operations, kept_bytes) = match &self.issuer_state {
+            IssuerState::Open(issuer) => (issuer.operations(), issuer.kept_bytes()),
+            IssuerState::Draining(issuer) => (issuer.operations(), issuer.kept_bytes()),
+            IssuerState::Sealed => (0, 0),
         };
         SessionStatus {
             issued: self.issued,
--- a/crates/shallotd/src/control/lists.rs
+++ b/crates/shallotd/src/control/lists.rs
@@ -1,4 +1,4 @@
-//! Published lists: which version of each is in force, checked and in typed form.
+//! Published lists: the parsed and validated version of each that is in force.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,94 +16,94 @@
 
 use crate::control::lists_source::ListSource;
 
-/// A list in force, with its text for peers that ask.
+/// A list in force, with its content for peers that pull it.
 #[derive(Debug, Clone)]
 pub struct ListInForce {
     /// The list as published.
     pub published: PublishedList,
-    /// When it came into force here.
-    pub since: Mono,
+    /// When the list came into force in this process.
+    pub in_force_at: Mono,
 }
 
 /// The lists in force.
 #[derive(Debug, Default)]
 pub struct Lists {
     tracker: Tracker,
-    /// From which revision the platform is watched.
+    /// Revision after which each replica of the platform is read.
     pub cursor: Cursor,
     in_force: BTreeMap<ListName, ListInForce>,
-    /// The general rule list, sorted by service.
+    /// The general rule list, indexed by service.
     pub rules: Option<Arc<ServiceIndex>>,
-    /// Rules of single services.
-    pub parts: BTreeMap<ServiceName, Arc<ServiceRuleList>>,
+    /// The rule lists of single services.
+    pub service_rules: BTreeMap<ServiceName, Arc<ServiceRuleList>>,
     /// Targets by service.
     pub targets: BTreeMap<ServiceName, Arc<Vec<TargetInfo>>>,
-    /// The entry VMs with the revision of their list.
+    /// The entry VMs and the revision of their list.
     pub vms: Option<(Revision, Vec<VmInfo>)>,
-    start_is_complete: bool,
+    is_start_complete: bool,
 }
 
-/// A list in typed form.
-enum Checked {
+/// A parsed list.
+enum ParsedList {
     Rules(ServiceIndex),
     ServiceRules(ServiceName, ServiceRuleList),
     Targets(ServiceName, Vec<TargetInfo>),
     Vms(Vec<VmInfo>),
 }
 
-/// What became of one offered list.
-pub struct Taken {
-    /// Whether it is in force now.
+/// Result of offering one list.
+pub struct OfferResult {
+    /// Whether the offered list has come into force.
     pub changed: bool,
-    /// The line for the trail of changes; `None` when the list was known already.
+    /// Entry for the audit trail; `None` if the list was known or the offer is expected.
     pub audit: Option<AuditChange>,
-    /// The list that was in force under the same revision until now.
+    /// The list of the same revision that the offered list replaced.
     pub outranked: Option<PublishedList>,
 }
 
-impl Taken {
-    fn nothing() -> Self {
+impl OfferResult {
+    fn unchanged() -> Self {
         Self { changed: false, audit: None, outranked: None }
     }
 }
 
 impl Lists {
-    /// Offers a list that the platform or a peer sent.
-    pub fn take(
+    /// Offers a list received from the platform or a peer.
+    pub fn offer(
         &mut self,
         published: PublishedList,
         source: &ListSource,
         now: Mono,
         log: &Logger,
-    ) -> Taken {
+    ) -> OfferResult {
         let version = Version::new(published.revision, published.content.as_bytes());
         let name = published.name.clone();
         if self.tracker.is_known(&name, &version) {
-            return Taken::nothing();
+            return OfferResult::unchanged();
         }
-        let from = self.tracker.in_force(&name).map(|version| version.revision);
-        let checked = check(&published);
-        let offered = OfferedVersion { name, version, valid: checked.is_ok() };
+        let previous_revision = self.tracker.in_force(&name).map(|version| version.revision);
+        let parsed = parse(&published);
+        let offered = OfferedVersion { name, version, valid: parsed.is_ok() };
         let offer = self.tracker.offer(&offered);
         if is_expected(offer, source) {
-            return Taken::nothing();
+            return OfferResult::unchanged();
         }
         let outranked = self.outranked_by(offer, &offered.name);
-        let reason = checked.as_ref().err().cloned().unwrap_or_default();
-        report(log, offer, &offered, source, &reason);
-        if let (true, Ok(checked)) = (offer.takes_effect(), checked) {
-            self.put_in_force(published, checked, now);
+        let reason = parsed.as_ref().err().cloned().unwrap_or_default();
+        log_offer(log, offer, &offered, source, &reason);
+        if let (true, Ok(parsed)) = (offer.takes_effect(), parsed) {
+            self.put_in_force(published, parsed, now);
         }
-        let audit = outcome(offer).map(|outcome| AuditChange {
+        let audit = audit_outcome(offer).map(|outcome| AuditChange {
             at: jiff::Timestamp::now().to_string(),
             list: offered.name,
-            from_revision: from,
+            from_revision: previous_revision,
             to_revision: offered.version.revision,
             digest: offered.version.digest.to_string(),
             outcome,
             source: source.to_string(),
         });
-        Taken { changed: offer.takes_effect(), audit, outranked }
+        OfferResult { changed: offer.takes_effect(), audit, outranked }
     }
 
     fn outranked_by(&self, offer: OfferOutcome, name: &ListName) -> Option<PublishedList> {
@@ -113,48 +113,49 @@
         self.in_force.get(name).map(|list| list.published.clone())
     }
 
-    /// The platform and the peers were asked: what is in force is the highest that any has.
-    pub fn complete_start(&mut self) {
-        self.start_is_complete = true;
+    /// Marks the initial reads of the platform and the peers as done: the lists in force have the
+    /// highest versions found.
+    pub fn mark_start_complete(&mut self) {
+        self.is_start_complete = true;
     }
 
-    /// The rule list that callers are served by; none while the start is not complete.
+    /// Returns the rule list for serving callers; `None` until the initial reads are done.
     pub fn serving_rules(&self) -> Option<Arc<ServiceIndex>> {
-        self.rules.clone().filter(|_| self.start_is_complete)
+        self.rules.clone().filter(|_| self.is_start_complete)
     }
 
-    /// Fingerprint of the lists in force.
+    /// Returns the digest of the lists in force.
     pub fn digest(&self) -> ListsDigest {
         self.tracker.digest()
     }
 
-    fn put_in_force(&mut self, published: PublishedList, checked: Checked, now: Mono) {
-        match checked {
-            Checked::Rules(rules) => self.rules = Some(Arc::new(rules)),
-            Checked::Targets(service, targets) => {
+    fn put_in_force(&mut self, published: PublishedList, parsed: ParsedList, now: Mono) {
+        match parsed {
+            ParsedList::Rules(rules) => self.rules = Some(Arc::new(rules)),
+            ParsedList::Targets(service, targets) => {
                 self.targets.insert(service, Arc::new(targets));
             }
-            Checked::ServiceRules(service, part) => {
-                self.parts.insert(service, Arc::new(part));
+            ParsedList::ServiceRules(service, part) => {
+                self.service_rules.insert(service, Arc::new(part));
             }
-            Checked::Vms(vms) => self.vms = Some((published.revision, vms)),
+            ParsedList::Vms(vms) => self.vms = Some((published.revision, vms)),
         }
         let name = published.name.clone();
-        self.in_force.insert(name, ListInForce { published, since: now });
+        self.in_force.insert(name, ListInForce { published, in_force_at: now });
     }
 
-    /// Lists in force that are newer than `after`, for a peer.
-    pub fn newer_than(&self, after: Revision) -> Vec<PublishedList> {
+    /// Returns the lists in force with a revision higher than `after`, for a peer.
+    pub fn changed_after(&self, after: Revision) -> Vec<PublishedList> {
         let lists = self.in_force.values().map(|list| &list.published);
         lists.filter(|list| list.revision > after).cloned().collect()
     }
 
-    /// The text of a list in force.
-    pub fn text(&self, name: &ListName) -> Option<String> {
+    /// Returns the content of a list in force.
+    pub fn content(&self, name: &ListName) -> Option<String> {
         self.in_force.get(name).map(|list| list.published.content.clone())
     }
 
-    /// What operators see of each list.
+    /// Returns the status of each list for operators.
     pub fn status(&self, now: Mono) -> Vec<ListStatus> {
         let status = |(name, version): (&ListName, Option<Version>)| ListStatus {
             name: name.clone(),
@@ -167,40 +168,40 @@
     }
 
     fn in_force_ms(&self, name: &ListName, now: Mono) -> u64 {
-        let since = self.in_force.get(name).map_or(now, |list| list.since);
-        u64::try_from(now.since(since).as_millis()).unwrap_or(u64::MAX)
+        let in_force_at = self.in_force.get(name).map_or(now, |list| list.in_force_at);
+        u64::try_from(now.since(in_force_at).as_millis()).unwrap_or(u64::MAX)
     }
 }
 
-fn check(published: &PublishedList) -> Result<Checked, String> {
+fn parse(published: &PublishedList) -> Result<ParsedList, String> {
     match &published.name {
         ListName::Rules => RuleList::parse(&published.content)
-            .map(|list| Checked::Rules(ServiceIndex::new(&list)))
-            .map_err(joined),
+            .map(|list| ParsedList::Rules(ServiceIndex::new(&list)))
+            .map_err(join_errors),
         ListName::ServiceRules(service) => ServiceRuleList::parse(&published.content)
-            .map(|part| Checked::ServiceRules(service.clone(), part))
-            .map_err(joined),
+            .map(|part| ParsedList::ServiceRules(service.clone(), part))
+            .map_err(join_errors),
         ListName::Targets(service) => parse_targets(service, &published.content)
-            .map(|targets| Checked::Targets(service.clone(), targets))
+            .map(|targets| ParsedList::Targets(service.clone(), targets))
             .map_err(|error| error.to_string()),
         ListName::Vms => {
-            parse_vms(&published.content).map(Checked::Vms).map_err(|error| error.to_string())
+            parse_vms(&published.content).map(ParsedList::Vms).map_err(|error| error.to_string())
         }
     }
 }
 
-/// Whether the offer is no news to operators: a peer that has not caught up yet has a lower
-/// revision, and will read the higher one from here.
+/// Returns whether the offer needs no log event: a peer that has not caught up yet offers a lower
+/// revision and will read the higher one from here.
 fn is_expected(offer: OfferOutcome, source: &ListSource) -> bool {
     matches!((offer, source), (OfferOutcome::Lower { .. }, ListSource::Peer(_)))
 }
 
-fn joined(errors: Vec<RuleError>) -> String {
+fn join_errors(errors: Vec<RuleError>) -> String {
     let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
     lines.join("; ")
 }
 
-fn outcome(offer: OfferOutcome) -> Option<AuditOutcome> {
+fn audit_outcome(offer: OfferOutcome) -> Option<AuditOutcome> {
     match offer {
         OfferOutcome::Accepted { .. } => Some(AuditOutcome::Accepted),
         OfferOutcome::Known => None,
@@ -215,7 +216,7 @@
     }
 }
 
-fn report(
+fn log_offer(
     log: &Logger,
     offer: OfferOutcome,
     offered: &OfferedVersion,
--- a/crates/shallotd/src/control/lists_take.rs
+++ b/crates/shallotd/src/control/lists_apply.rs
@@ -1,53 +1,53 @@
-//! Offers lists to this process and puts those that take effect in force.
+//! Offers received lists and applies those that come into force.
 
 use metrics::counter;
 use shallotfork_membership::ListedVm;
 use shallotfork_platform::{PublishedList, VmState};
 use shallotfork_types::PerSecond;
 
-use crate::control::lists::Taken;
+use crate::control::lists::OfferResult;
 use crate::control::lists_source::ListSource;
 use crate::control::publish::publish;
 use crate::control::state::State;
 use crate::metrics_catalogue::LIST_OFFERS;
 
-/// What became of offered lists.
+/// Result of offering several lists.
 #[derive(Debug, Default)]
-pub struct TakenLists {
-    /// Whether any takes effect.
+pub struct AppliedLists {
+    /// Whether any of the lists came into force.
     pub changed: bool,
-    /// Lists that were in force under the same revision as one that took their place.
+    /// Replaced lists that had the same revision as the one that replaced them.
     pub outranked: Vec<PublishedList>,
 }
 
-/// Offers lists and publishes a new snapshot when any takes effect.
-pub fn take_lists(state: &State, lists: Vec<PublishedList>, source: &ListSource) -> TakenLists {
-    let mut all = TakenLists::default();
+/// Offers lists and publishes a new snapshot if any of them comes into force.
+pub fn apply_lists(state: &State, lists: Vec<PublishedList>, source: &ListSource) -> AppliedLists {
+    let mut applied = AppliedLists::default();
     for list in lists {
-        let taken = take_list(state, list, source);
-        all.changed |= taken.changed;
-        all.outranked.extend(taken.outranked);
+        let result = apply_list(state, list, source);
+        applied.changed |= result.changed;
+        applied.outranked.extend(result.outranked);
     }
-    if all.changed {
-        set_members(state);
+    if applied.changed {
+        update_member_list(state);
         publish(state);
         state.lists_changed.notify_one();
     }
-    all
+    applied
 }
 
-fn take_list(state: &State, list: PublishedList, source: &ListSource) -> Taken {
+fn apply_list(state: &State, list: PublishedList, source: &ListSource) -> OfferResult {
     let context = &state.context;
     let now = context.clock.now();
-    let mut taken = state.lists.borrow_mut().take(list, source, now, &context.log);
-    if let Some(change) = taken.audit.take() {
+    let mut result = state.lists.borrow_mut().offer(list, source, now, &context.log);
+    if let Some(change) = result.audit.take() {
         counter!(LIST_OFFERS.name, "outcome" => change.outcome.as_str()).increment(1);
         state.audit.borrow_mut().add(change);
     }
-    taken
+    result
 }
 
-fn set_members(state: &State) {
+fn update_member_list(state: &State) {
     let lists = state.lists.borrow();
     let Some((revision, vms)) = &lists.vms else { return };
     let listed: Vec<ListedVm> = vms
--- a/crates/shallotd/src/control/lists_pull.rs
+++ b/crates/shallotd/src/control/lists_pull.rs
@@ -1,4 +1,4 @@
-//! Reads lists from peers.
+//! Pulls lists from peers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,91 +9,94 @@
 use shallotfork_revisions::DigestPair;
 use shallotfork_types::{ListName, Revision};
 
+use crate::control::lists_apply::apply_lists;
 use crate::control::lists_source::ListSource;
-use crate::control::lists_take::take_lists;
 use crate::control::state::State;
 use crate::metrics_catalogue::LIST_PULLS;
 
-/// How long the platform gets to tell this process what it has just told a peer.
-const PLATFORM_FIRST: Duration = Duration::from_millis(100);
+/// Delay before a pull, in which the platform can deliver the change that it has just sent to the
+/// peer.
+const PULL_DELAY: Duration = Duration::from_millis(100);
 
-/// Reads the lists of a peer when its heartbeat shows that it has others in force.
+/// Pulls the lists of a peer if its heartbeat shows that its lists in force differ.
 ///
-/// Entries that cannot reach the platform, or reach a replica that lags or has other contents,
-/// learn of changes in this way only; and entries that were apart compare what they have.
-pub async fn pull_lists(state: Rc<State>, client: Rc<PeerClient>, beat: Heartbeat) {
-    state.lists.borrow_mut().cursor.record_seen(beat.seen_revision);
-    if beat.lists_digest == state.lists.borrow().digest() {
+/// Entries that cannot reach the platform, or whose replica lags or has other contents, receive
+/// changes only in this way. It also reconciles entries that were partitioned from each other.
+pub async fn pull_lists(state: Rc<State>, client: Rc<PeerClient>, heartbeat: Heartbeat) {
+    state.lists.borrow_mut().cursor.record_seen(heartbeat.seen_revision);
+    if heartbeat.lists_digest == state.lists.borrow().digest() {
         return;
     }
-    tokio::time::sleep(PLATFORM_FIRST).await;
-    if is_behind(&state, &beat) {
+    tokio::time::sleep(PULL_DELAY).await;
+    if is_peer_behind(&state, &heartbeat) {
         return;
     }
-    let pair = DigestPair { own: state.lists.borrow().digest(), peer: beat.lists_digest };
+    let pair = DigestPair { own: state.lists.borrow().digest(), peer: heartbeat.lists_digest };
     let peer = &client.peer().vm;
     let now = state.context.clock.now();
-    if !state.pulls.borrow_mut().try_admit(peer, pair, now) {
+    if !state.pull_gate.borrow_mut().try_admit(peer, pair, now) {
         return;
     }
     counter!(LIST_PULLS.name).increment(1);
-    if read_lists(&state, &client, pull_after(&state, &beat)).await.is_err() {
-        state.pulls.borrow_mut().forget(peer);
+    if read_lists(&state, &client, pull_after(&state, &heartbeat)).await.is_err() {
+        state.pull_gate.borrow_mut().forget(peer);
     }
 }
 
-/// As `pull_lists`, for a peer that sent the heartbeat over its own connection.
-pub async fn pull_lists_from(state: Rc<State>, peer: PeerId, beat: Heartbeat) {
-    if beat.lists_digest == state.lists.borrow().digest() {
+/// Pulls the lists of a peer that sent a heartbeat over its own connection; opens a connection to
+/// it for that.
+pub async fn connect_and_pull_lists(state: Rc<State>, peer: PeerId, heartbeat: Heartbeat) {
+    if heartbeat.lists_digest == state.lists.borrow().digest() {
         return;
     }
     let entries = state.view.borrow().entries();
     let Some(entry) = entries.into_iter().find(|entry| entry.vm == peer.vm) else { return };
     if let Ok(client) = state.peers.client(&entry).await {
-        pull_lists(state, client, beat).await;
+        pull_lists(state, client, heartbeat).await;
     }
 }
 
-/// Whether the peer was at an earlier revision when it sent the heartbeat.
+/// Returns whether the peer was at an earlier revision when it sent the heartbeat.
 ///
-/// It reads what is new from here, or has read it by now. Reading its lists as well, all of them
-/// since the difference has no revision, would cost megabytes at each change. Once it has caught
-/// up, another content under one revision shows as a difference at the same revision.
-fn is_behind(state: &State, beat: &Heartbeat) -> bool {
-    beat.synced_revision < state.lists.borrow().cursor.synced_revision()
+/// Such a peer reads the changes from this entry, or has already done so. Pulling its lists as well
+/// would transfer all of them, megabytes at each change, as a digest does not show which revisions
+/// differ. Once the peer has caught up, a conflict under one revision shows as different digests at
+/// the same revision.
+fn is_peer_behind(state: &State, heartbeat: &Heartbeat) -> bool {
+    heartbeat.synced_revision < state.lists.borrow().cursor.synced_revision()
 }
 
-/// What is new at a peer that knows later revisions; else everything, since the difference lies in
-/// what both have.
-fn pull_after(state: &State, beat: &Heartbeat) -> Revision {
-    let complete = state.lists.borrow().cursor.synced_revision();
-    if beat.synced_revision > complete { complete } else { Revision::NONE }
+/// Returns the revision after which to read: the synced revision of this process if the peer's is
+/// later, otherwise `Revision::NONE` for all lists, because the difference is in what both have.
+fn pull_after(state: &State, heartbeat: &Heartbeat) -> Revision {
+    let synced = state.lists.borrow().cursor.synced_revision();
+    if heartbeat.synced_revision > synced { synced } else { Revision::NONE }
 }
 
 /// Reads the lists of a peer that changed after a revision.
 ///
 /// # Errors
-/// When the peer does not answer in time.
+/// Returns an error if the peer does not answer in time.
 pub async fn read_lists(
     state: &State,
     client: &PeerClient,
     after: Revision,
 ) -> Result<(), PeerError> {
     let changes = client.changes(after).await?;
-    let complete = state.lists.borrow().cursor.synced_revision();
-    let lists = changes.values.into_iter().filter_map(published).collect();
-    let taken = take_lists(state, lists, &ListSource::Peer(client.peer().vm.clone()));
-    if after <= complete {
+    let synced = state.lists.borrow().cursor.synced_revision();
+    let lists = changes.values.into_iter().filter_map(to_published_list).collect();
+    let applied = apply_lists(state, lists, &ListSource::Peer(client.peer().vm.clone()));
+    if after <= synced {
         state.lists.borrow_mut().cursor.record_synced(changes.revision);
     }
-    show_outranked(client, changes.revision, taken.outranked).await
+    push_outranked(client, changes.revision, applied.outranked).await
 }
 
-/// Shows the peer the contents that its own have just replaced here.
+/// Pushes to the peer the lists that its lists of the same revision have just replaced here.
 ///
-/// The fingerprints agree from now on, so that the peer would never learn of the conflict, and an
-/// operator who looks at it would see nothing wrong.
-async fn show_outranked(
+/// From now on the digests agree, so the peer would not detect the conflict otherwise, and its
+/// operators would not see it.
+async fn push_outranked(
     client: &PeerClient,
     revision: Revision,
     outranked: Vec<PublishedList>,
@@ -101,12 +104,12 @@
     if outranked.is_empty() {
         return Ok(());
     }
-    let values = outranked.into_iter().map(value_change).collect();
+    let values = outranked.into_iter().map(to_value_change).collect();
     client.push(&Changes { revision, values, is_snapshot: false, bundle: None }).await
 }
 
-/// A published list as a peer's value.
-pub fn value_change(list: PublishedList) -> ValueChange {
+/// Converts a published list to a peer message.
+pub fn to_value_change(list: PublishedList) -> ValueChange {
     ValueChange {
         name: list.name.to_string(),
         revision: list.revision,
@@ -116,9 +119,9 @@
     }
 }
 
-/// A peer's value as a published list; `None` for names or texts that this version cannot read,
-/// packed ones among them.
-pub fn published(change: ValueChange) -> Option<PublishedList> {
+/// Converts a peer message to a published list; `None` if its name or content cannot be read by
+/// this version, as with compressed content.
+pub fn to_published_list(change: ValueChange) -> Option<PublishedList> {
     let name: ListName = change.name.parse().ok()?;
     if change.unpacked_size.is_some() {
         return None;
--- a/crates/shallotd/src/control/lists_source.rs
+++ b/crates/shallotd/src/control/lists_source.rs
@@ -1,10 +1,10 @@
-//! Where an offered list came from.
+//! Origin of an offered list.
 
 use std::fmt;
 
 use shallotfork_types::{Endpoint, VmId};
 
-/// Who sent a list.
+/// The sender of a list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ListSource {
     /// A replica of the platform.
--- a/crates/shallotd/src/control/lists_start.rs
+++ b/crates/shallotd/src/control/lists_start.rs
@@ -1,4 +1,4 @@
-//! The lists with which a process starts.
+//! Initial reads of the published lists when a process starts.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,41 +15,43 @@
 use crate::control::state::State;
 use crate::control::watch::read_platform;
 
-/// How long the lists of peers are waited for.
-const PEERS_WAIT_MAX: Duration = Duration::from_secs(4);
+/// Timeout for reading the lists of all peers.
+const PEERS_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How long answers to heartbeats are waited for; a peer that is paused must not hold up the start.
-const GREETING_WAIT_MAX: Duration = Duration::from_secs(1);
+/// Timeout for a peer's answer to a heartbeat, so that a paused peer does not delay the start.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Peers asked at once; the highest version is soon known to all that can reach each other.
+/// Maximum number of peers to read from; the highest version soon spreads to all entries that can
+/// reach each other.
 const PEERS_MAX: usize = 16;
 
-/// Waits between two rounds while nobody has a rule list; calls to the platform are capped besides.
+/// Delay between two rounds while no rule list is found; calls to the platform also have a rate
+/// limit.
 const ROUND_BACKOFF: BackoffConfig =
     BackoffConfig { first: Duration::from_millis(50), max: Duration::from_millis(500) };
 
-/// Asks every replica of the platform and the peers, in rounds, until a rule list is in force.
+/// Reads every replica of the platform and the peers, in rounds, until a rule list is in force.
 ///
-/// A process starts with no memory. A replica that lags, or a platform that was rolled back, would
-/// give it a list that operators have already seen replaced, and its callers would see the old one
-/// come back. Only who was there knows better: so all replicas and the peers are asked, and the
-/// highest version counts, before the first caller is served.
-pub async fn first_lists(state: &Rc<State>) {
+/// A process starts without any state. A lagging replica, or a platform that was rolled back, would
+/// give it a list that has already been replaced, and its callers would be served by the old list
+/// again. Only the other replicas and the peers know the newer one, so all of them are read and the
+/// highest version comes into force before the first caller is served.
+pub async fn load_initial_lists(state: &Rc<State>) {
     let seed = state.context.identity.incarnation.value();
     let mut backoff = Backoff::new(ROUND_BACKOFF, seed);
     loop {
-        ask_platform(state).await;
-        ask_peers(state).await;
+        read_all_replicas(state).await;
+        read_peers(state).await;
         if state.lists.borrow().rules.is_some() {
             break;
         }
         tokio::time::sleep(backoff.failed()).await;
     }
-    state.lists.borrow_mut().complete_start();
+    state.lists.borrow_mut().mark_start_complete();
     publish(state);
 }
 
-async fn ask_platform(state: &Rc<State>) {
+async fn read_all_replicas(state: &Rc<State>) {
     for _ in 0..state.platform.replica_count() {
         if read_platform(state, Duration::ZERO).await.is_ok() {
             state.platform.next_replica();
@@ -57,39 +59,42 @@
     }
 }
 
-/// Reads the lists of peers that have others than the platform gave, one after another: once the
-/// first has been read, the others mostly have nothing else. Reading all lists of all peers,
-/// megabytes each, would make the restart of a rack a storm.
-async fn ask_peers(state: &Rc<State>) {
+/// Reads the lists of peers whose digest differs from this process's.
+///
+/// The peers are read one after another, since after the first one the others mostly have nothing
+/// else. Reading all lists of all peers, megabytes each, would cause a load peak when a whole rack
+/// restarts.
+async fn read_peers(state: &Rc<State>) {
     let entries = state.view.borrow().entries();
     let peers = heartbeat_peers(&state.context.identity.vm, &entries, PEERS_MAX);
-    let asked = async {
-        let greeted = peers.into_iter().map(|entry| greet(state, entry));
-        for peer in join_all(greeted).await.into_iter().flatten() {
-            read_if_other(state, &peer).await;
+    let reads = async {
+        let exchanges = peers.into_iter().map(|entry| exchange_heartbeat(state, entry));
+        for peer in join_all(exchanges).await.into_iter().flatten() {
+            read_if_different(state, &peer).await;
         }
     };
-    let _late = tokio::time::timeout(PEERS_WAIT_MAX, asked).await;
+    let _timed_out = tokio::time::timeout(PEERS_TIMEOUT, reads).await;
 }
 
 /// A peer that answered a heartbeat.
-struct Greeted {
+struct RespondingPeer {
     client: Rc<PeerClient>,
     digest: ListsDigest,
 }
 
-/// A peer that cannot be reached is left out: without it, others or the platform must do.
-async fn greet(state: &Rc<State>, entry: EntryVm) -> Option<Greeted> {
-    let greeted = async {
+/// Exchanges heartbeats with a peer; `None` if the peer cannot be reached, in which case the lists
+/// of other peers or the platform have to suffice.
+async fn exchange_heartbeat(state: &Rc<State>, entry: EntryVm) -> Option<RespondingPeer> {
+    let exchange = async {
         let client = state.peers.client(&entry).await.ok()?;
-        let beat = client.heartbeat(&own_heartbeat(state)).await.ok()?;
-        Some(Greeted { client, digest: beat.lists_digest })
+        let heartbeat = client.heartbeat(&own_heartbeat(state)).await.ok()?;
+        Some(RespondingPeer { client, digest: heartbeat.lists_digest })
     };
-    tokio::time::timeout(GREETING_WAIT_MAX, greeted).await.ok().flatten()
+    tokio::time::timeout(HEARTBEAT_TIMEOUT, exchange).await.ok().flatten()
 }
 
-async fn read_if_other(state: &Rc<State>, peer: &Greeted) {
+async fn read_if_different(state: &Rc<State>, peer: &RespondingPeer) {
     if peer.digest != state.lists.borrow().digest() {
-        let _unread = read_lists(state, &peer.client, Revision::NONE).await;
+        let _failed = read_lists(state, &peer.client, Revision::NONE).await;
     }
 }
--- a/crates/shallotd/src/control/members.rs
+++ b/crates/shallotd/src/control/members.rs
@@ -1,4 +1,4 @@
-//! Heartbeats to other entries, and what their answers say.
+//! Heartbeats to other entries and handling of their answers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,86 +15,89 @@
 use crate::control::publish::publish;
 use crate::control::state::State;
 
-/// Peers that a process chooses to exchange heartbeats with; in a large fleet it is chosen by as
-/// many again. A node's cost stays the same however large the fleet grows.
+/// Number of peers that a process selects for heartbeats; in a large fleet about as many others
+/// select it. The cost per entry therefore does not grow with the fleet.
 const HEARTBEAT_PEERS_MAX: usize = 3;
 
-/// Shortest time between two announcements, so that a burst of changes costs no burst of heartbeats.
-const ANNOUNCE_SPACING: Duration = Duration::from_millis(250);
+/// Minimum time between two announcements, so that a burst of changes does not cause a burst of
+/// heartbeats.
+const ANNOUNCE_PERIOD_MIN: Duration = Duration::from_millis(250);
 
-/// A tick that is late by this many heartbeats means that the process was paused.
-const PAUSED_HEARTBEATS: u32 = 2;
+/// Number of heartbeat periods by which a tick must be late to count as a pause of the process.
+const PAUSE_THRESHOLD_HEARTBEATS: u32 = 2;
 
-/// Exchanges heartbeats at regular intervals for as long as the process runs.
-pub async fn heartbeats(state: Rc<State>, timer: TimerService) {
+/// Exchanges heartbeats periodically for as long as the process runs.
+pub async fn run_heartbeats(state: Rc<State>, timer: TimerService) {
     let period = state.context.settings.peers.heartbeat;
     let schedule = Schedule::new(period).with_jitter(period / 10);
     let mut subscription = timer.subscribe(schedule);
     while let Some(tick) = subscription.tick().await {
-        if tick.delay > period * PAUSED_HEARTBEATS {
+        if tick.delay > period * PAUSE_THRESHOLD_HEARTBEATS {
             state.view.borrow_mut().handle_resume(tick.now);
         }
-        let chosen = chosen(&state);
-        let watched = chosen.iter().map(|entry| entry.vm.clone()).collect();
-        state.view.borrow_mut().monitor(&watched, tick.now);
+        let chosen = chosen_peers(&state);
+        let monitored = chosen.iter().map(|entry| entry.vm.clone()).collect();
+        state.view.borrow_mut().monitor(&monitored, tick.now);
         state.view.borrow_mut().expire(tick.now);
         state.ledger.borrow_mut().expire(tick.now);
-        for entry in chosen.into_iter().filter(|entry| is_due(&state, entry, period)) {
-            tokio::task::spawn_local(beat(Rc::clone(&state), entry));
+        for entry in chosen.into_iter().filter(|entry| is_heartbeat_due(&state, entry, period)) {
+            tokio::task::spawn_local(exchange_heartbeat(Rc::clone(&state), entry));
         }
         publish_if_changed(&state);
     }
 }
 
-/// Exchanges heartbeats at once when a list takes effect, for as long as the process runs.
+/// Exchanges heartbeats immediately after lists come into force, for as long as the process runs.
 ///
-/// The fingerprint in them tells entries that cannot reach the platform that there is something to
-/// read. Waiting for the next regular heartbeat would cost each entry on the way up to a period.
-/// Entries that read the platform themselves are left out: they know as soon as this one does, and
-/// an exchange with each at every change would cost as much as the regular heartbeats.
-pub async fn announce_lists(state: Rc<State>) {
+/// The digest in the heartbeat shows entries that are disconnected from the platform that there are
+/// changes to pull. Waiting for the next periodic heartbeat would add up to one period per hop.
+/// Entries that read the platform themselves are skipped: they receive the change at the same time,
+/// and exchanging heartbeats with each at every change would cost as much as the periodic ones.
+pub async fn announce_list_changes(state: Rc<State>) {
     loop {
         state.lists_changed.notified().await;
-        let mut blind = chosen(&state);
-        blind.retain(|entry| state.blind.borrow().contains(&entry.vm));
-        for entry in blind {
-            tokio::task::spawn_local(beat(Rc::clone(&state), entry));
+        let mut disconnected_entries = chosen_peers(&state);
+        disconnected_entries
+            .retain(|entry| state.disconnected_entries.borrow().contains(&entry.vm));
+        for entry in disconnected_entries {
+            tokio::task::spawn_local(exchange_heartbeat(Rc::clone(&state), entry));
         }
-        tokio::time::sleep(ANNOUNCE_SPACING).await;
+        tokio::time::sleep(ANNOUNCE_PERIOD_MIN).await;
     }
 }
 
-/// An exchange informs both sides, so of two that chose each other only the first to wake speaks.
-fn is_due(state: &State, entry: &EntryVm, period: Duration) -> bool {
-    let heard_at = state.view.borrow().last_seen_at(&entry.vm);
-    let unheard = entry.incarnation.is_none() || entry.state == EntryState::Suspected;
-    unheard || state.context.clock.now().since(heard_at) >= period * 3 / 4
+/// Returns whether a heartbeat to the entry is due. An exchange informs both sides, so if two
+/// entries selected each other, only the first one to wake up sends a heartbeat.
+fn is_heartbeat_due(state: &State, entry: &EntryVm, period: Duration) -> bool {
+    let last_seen_at = state.view.borrow().last_seen_at(&entry.vm);
+    let is_silent = entry.incarnation.is_none() || entry.state == EntryState::Suspected;
+    is_silent || state.context.clock.now().since(last_seen_at) >= period * 3 / 4
 }
 
-/// Says at once to every entry that this process is leaving; returns whether all have heard it.
-pub async fn tell_leaving(state: &Rc<State>) -> bool {
-    state.leaving.set(true);
+/// Announces to every entry that this process is leaving; returns whether all of them answered.
+pub async fn announce_leaving(state: &Rc<State>) -> bool {
+    state.is_leaving.set(true);
     state.view.borrow_mut().leave();
     publish(state);
     let own = &state.context.identity.vm;
     let mut others = state.view.borrow().entries();
     others.retain(|entry| entry.vm != *own);
-    let told = others.into_iter().map(|entry| beat(Rc::clone(state), entry));
-    futures::future::join_all(told).await.into_iter().all(|heard| heard)
+    let exchanges = others.into_iter().map(|entry| exchange_heartbeat(Rc::clone(state), entry));
+    futures::future::join_all(exchanges).await.into_iter().all(|answered| answered)
 }
 
-fn chosen(state: &State) -> Vec<EntryVm> {
+fn chosen_peers(state: &State) -> Vec<EntryVm> {
     let entries = state.view.borrow().entries();
     heartbeat_peers(&state.context.identity.vm, &entries, HEARTBEAT_PEERS_MAX)
 }
 
 /// Exchanges heartbeats with one entry; returns whether it answered.
-async fn beat(state: Rc<State>, entry: EntryVm) -> bool {
+async fn exchange_heartbeat(state: Rc<State>, entry: EntryVm) -> bool {
     let Ok(client) = state.peers.client(&entry).await else { return false };
     let own = own_heartbeat(&state);
     match client.heartbeat(&own).await {
         Ok(answer) => {
-            heard(&state, client.peer(), &answer);
+            handle_heartbeat(&state, client.peer(), &answer);
             tokio::task::spawn_local(pull_lists(Rc::clone(&state), client, answer));
             true
         }
@@ -105,7 +108,7 @@
     }
 }
 
-/// What this process says of itself, with the news that is due.
+/// Returns the heartbeat of this process, with the membership updates that are due.
 pub fn own_heartbeat(state: &State) -> Heartbeat {
     let identity = &state.context.identity;
     let lists = state.lists.borrow();
@@ -116,11 +119,11 @@
         callers: identity.callers,
         peers: identity.peers,
         round: view.own_round(),
-        updates: view.take_due_updates().into_iter().map(peer_news).collect(),
+        updates: view.take_due_updates().into_iter().map(to_peer_update).collect(),
         seen_revision: lists.cursor.highest_revision(),
         synced_revision: lists.cursor.synced_revision(),
         lists_digest: lists.digest(),
-        is_disconnected: state.platform_lost.get(),
+        is_disconnected: state.is_disconnected.get(),
         platform: PlatformReport::default(),
         domain_entries: 0,
         crash_reports: Vec::new(),
@@ -129,17 +132,17 @@
         is_overloaded: false,
         restart_safe: state.ledger.borrow().running() == 0,
         loads: Vec::new(),
-        // Entries of one fleet of this kind are all alike.
+        // All entries of a fleet of this kind have the same capacity.
         capacity: PerSecond::default(),
     }
 }
 
-fn note_blind(state: &State, peer: &PeerId, beat: &Heartbeat) {
-    let mut blind = state.blind.borrow_mut();
-    if beat.is_disconnected {
-        blind.insert(peer.vm.clone());
+fn record_disconnected(state: &State, peer: &PeerId, heartbeat: &Heartbeat) {
+    let mut disconnected_entries = state.disconnected_entries.borrow_mut();
+    if heartbeat.is_disconnected {
+        disconnected_entries.insert(peer.vm.clone());
     } else {
-        blind.remove(&peer.vm);
+        disconnected_entries.remove(&peer.vm);
     }
 }
 
@@ -147,21 +150,21 @@
     if !*state.ready.borrow() {
         return PeerState::Starting;
     }
-    peer_state(state.leaving.get())
+    peer_state(state.is_leaving.get())
 }
 
 fn peer_state(leaving: bool) -> PeerState {
     if leaving { PeerState::Leaving } else { PeerState::Live }
 }
 
-/// News as it is carried to other entries.
-pub fn peer_news(news: MemberUpdate) -> PeerUpdate {
-    let Announcement { listed, incarnation, round } = news.about;
+/// Converts a membership update to a peer message.
+pub fn to_peer_update(update: MemberUpdate) -> PeerUpdate {
+    let Announcement { listed, incarnation, round } = update.about;
     PeerUpdate {
         state: peer_state(listed.leaving),
         peer: PeerId::new(listed.vm, incarnation),
         round,
-        suspected: news.suspected,
+        suspected: update.suspected,
         failure_domain: listed.failure_domain,
         callers: listed.callers,
         peers: listed.peers,
@@ -169,80 +172,83 @@
     }
 }
 
-fn news(told: &PeerUpdate) -> MemberUpdate {
+fn to_member_update(update: &PeerUpdate) -> MemberUpdate {
     let listed = ListedVm {
-        vm: told.peer.vm.clone(),
-        failure_domain: told.failure_domain.clone(),
-        callers: told.callers,
-        peers: told.peers,
-        leaving: told.state == PeerState::Leaving,
-        capacity: told.capacity,
+        vm: update.peer.vm.clone(),
+        failure_domain: update.failure_domain.clone(),
+        callers: update.callers,
+        peers: update.peers,
+        leaving: update.state == PeerState::Leaving,
+        capacity: update.capacity,
     };
-    let incarnation = told.peer.incarnation;
-    let about = Announcement { listed, incarnation, round: told.round };
-    MemberUpdate { about, suspected: told.suspected }
+    let incarnation = update.peer.incarnation;
+    let about = Announcement { listed, incarnation, round: update.round };
+    MemberUpdate { about, suspected: update.suspected }
 }
 
-/// Takes what a peer says of itself.
+/// Processes a heartbeat received from a peer.
 ///
-/// A process that is starting is not counted: it would be named to callers, whom it can only
-/// refuse, and would end the suspicion of the run that it replaces.
-pub fn heard(state: &State, peer: &PeerId, beat: &Heartbeat) {
-    if beat.state == PeerState::Starting {
+/// The heartbeat of a starting process is ignored: otherwise the entry would be advertised to
+/// callers, whom it can only reject, and the suspicion of the incarnation that it replaces would
+/// end.
+pub fn handle_heartbeat(state: &State, peer: &PeerId, heartbeat: &Heartbeat) {
+    if heartbeat.state == PeerState::Starting {
         return;
     }
-    note_blind(state, peer, beat);
+    record_disconnected(state, peer, heartbeat);
     let listed = ListedVm {
         vm: peer.vm.clone(),
-        failure_domain: beat.failure_domain.clone(),
-        callers: beat.callers,
-        peers: beat.peers,
-        leaving: beat.state == PeerState::Leaving,
-        capacity: beat.capacity,
+        failure_domain: heartbeat.failure_domain.clone(),
+        callers: heartbeat.callers,
+        peers: heartbeat.peers,
+        leaving: heartbeat.state == PeerState::Leaving,
+        capacity: heartbeat.capacity,
     };
-    let from = Announcement { listed, incarnation: peer.incarnation, round: beat.round };
+    let from = Announcement { listed, incarnation: peer.incarnation, round: heartbeat.round };
     let now = state.context.clock.now();
     let mut view = state.view.borrow_mut();
     view.receive_heartbeat(&from, now);
-    for told in &beat.updates {
-        view.receive_update(&news(told), now);
+    for update in &heartbeat.updates {
+        view.receive_update(&to_member_update(update), now);
     }
     drop(view);
     publish_if_changed(state);
 }
 
-/// Publishes a snapshot when a belief about an entry has changed.
+/// Publishes a snapshot if the view of any entry has changed.
 fn publish_if_changed(state: &State) {
     let context = &state.context;
-    let now = state.view.borrow().entries();
-    let before = context.snapshot();
-    if now == before.entries {
+    let entries = state.view.borrow().entries();
+    let previous = context.snapshot();
+    if entries == previous.entries {
         return;
     }
-    for entry in &now {
-        let was = before.entries.iter().find(|old| old.vm == entry.vm).map(|old| old.state);
-        if was != Some(entry.state) {
-            log_change(state, entry);
+    for entry in &entries {
+        let old_state = previous.entries.iter().find(|old| old.vm == entry.vm).map(|old| old.state);
+        if old_state != Some(entry.state) {
+            log_state_change(state, entry);
         }
-        note_lost(state, before.entries.iter().find(|old| old.vm == entry.vm), entry);
+        mark_lost_operations(state, previous.entries.iter().find(|old| old.vm == entry.vm), entry);
     }
     publish(state);
 }
 
-/// Lets go of operations that a silent or replaced process was running: callers are told
-/// may-have-run instead of in-progress. If it lives after all, its report makes that exact.
-fn note_lost(state: &State, before: Option<&EntryVm>, now: &EntryVm) {
+/// Marks the operations that a suspected or replaced process was running as lost, so that callers
+/// receive may-have-run instead of in-progress. If the process is alive after all, its completion
+/// report sets the exact outcome.
+fn mark_lost_operations(state: &State, previous: Option<&EntryVm>, current: &EntryVm) {
     let mut ledger = state.ledger.borrow_mut();
-    if let Some(silent) = now.incarnation.filter(|_| now.state == EntryState::Suspected) {
-        ledger.executor_lost(&now.vm, silent);
+    if let Some(suspected) = current.incarnation.filter(|_| current.state == EntryState::Suspected)
+    {
+        ledger.executor_lost(&current.vm, suspected);
     }
-    let ended = before.and_then(|before| before.incarnation);
-    if let Some(ended) = ended.filter(|ended| now.incarnation != Some(*ended)) {
-        ledger.executor_lost(&now.vm, ended);
+    let ended = previous.and_then(|previous| previous.incarnation);
+    if let Some(ended) = ended.filter(|ended| current.incarnation != Some(*ended)) {
+        ledger.executor_lost(&current.vm, ended);
     }
 }
 
-fn log_change(state: &State, entry: &EntryVm) {
+fn log_state_change(state: &State, entry: &EntryVm) {
     let kind = if entry.state == EntryState::Live { PEER_UP } else { PEER_DOWN };
     event!(
         state.context.log, kind,
@@ -251,7 +257,7 @@
     );
 }
 
-/// How long peers that were not told may still name this process.
-pub fn untold_wait(state: &State) -> Duration {
+/// Returns how long peers that missed the announcement may still advertise this entry to callers.
+pub fn stale_advertisement_time(state: &State) -> Duration {
     state.context.settings.peers.suspect_after
 }
--- a/crates/shallotd/src/control/operations.rs
+++ b/crates/shallotd/src/control/operations.rs
@@ -1,5 +1,5 @@
-//! Operations of sessions: decided here when this process issued them, else asked of the issuer,
-//! else of peers that hold its sealed ledger.
+//! Operations of sessions: decided by this process if it issued the session, otherwise by the
+//! issuer or by peers that hold the issuer's sealed ledger.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,67 +15,72 @@
 
 use crate::control::state::State;
 
-/// Peers asked at once for the sealed ledger of an issuer that is gone.
+/// Maximum number of peers queried for the sealed ledger of an issuer that is gone.
 const LOOKUP_PEERS_MAX: usize = 8;
 
-/// Look-ups of one process at once.
-pub const LOOKUPS_MAX: usize = 64;
+/// Maximum number of concurrent lookups in the sealed ledgers of peers.
+pub const CONCURRENT_LOOKUPS_MAX: usize = 64;
 
-/// Ends of operations that are reported in the background at once.
-pub const LATE_REPORTS_MAX: usize = 256;
+/// Maximum number of completions that are reported in the background at a time.
+pub const BACKGROUND_REPORTS_MAX: usize = 256;
 
-/// Wait before the second report of an end; it doubles with each further one.
-const REPORT_WAIT: Duration = Duration::from_millis(200);
+/// Delay before the second report of a completion; it doubles with each further report.
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Longest wait between two reports of an end.
-const REPORT_WAIT_MAX: Duration = Duration::from_secs(2);
+/// Maximum delay between two reports of a completion.
+const REPORT_RETRY_DELAY_MAX: Duration = Duration::from_secs(2);
 
-/// What is known of an operation.
+/// Result of a request about an operation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// Its issuer, or a holder of its issuer's sealed ledger, has answered.
+    /// The issuer, or a holder of the issuer's sealed ledger, has answered.
     Answered(ClaimAnswer),
-    /// Neither could be reached: it may run, have run, or be open still.
+    /// Neither could be reached: the operation may be running, have run, or still be open.
     Unreachable,
 }
 
-/// Asks for leave to run an operation.
+/// Requests a grant to run an operation.
 ///
-/// A claim whose answer is lost may have been granted. Nobody would use that grant, and the key
-/// would stay in progress: so the operation is closed under the claim's own number, which turns
-/// an unused grant into a proved not-run.
+/// If the answer to a claim is lost, the claim may have been granted. Nobody would use the grant,
+/// and the key would stay in progress. The operation is therefore closed with the number of the
+/// same claim, which turns an unused grant into a definite not-run.
 pub async fn claim(state: &Rc<State>, operation: &OperationId, claim: &ClaimId) -> Decision {
-    if let Some(answer) = claim_here(state, operation, claim) {
+    if let Some(answer) = claim_locally(state, operation, claim) {
         return Decision::Answered(answer);
     }
-    if let Ok(client) = issuer(state, operation.session()).await {
+    if let Ok(client) = issuer_client(state, operation.session()).await {
         match client.claim(operation, claim.number()).await {
             Ok(answer) => return Decision::Answered(answer),
             Err(_) => {
                 state.peers.drop_client(&client);
-                report_later(state, operation, claim, Completion::NotRun);
+                report_in_background(state, operation, claim, Completion::NotRun);
             }
         }
     }
-    archived(state, operation).await
+    lookup_sealed(state, operation).await
 }
 
-/// Grants an operation or says what is known of it; `None` when it is not for this process to say.
-pub fn claim_here(state: &State, operation: &OperationId, claim: &ClaimId) -> Option<ClaimAnswer> {
+/// Grants an operation or returns its known state; `None` if neither the issuer nor the
+/// archive of this process covers it.
+pub fn claim_locally(
+    state: &State,
+    operation: &OperationId,
+    claim: &ClaimId,
+) -> Option<ClaimAnswer> {
     let now = state.context.clock.now();
     let mut ledger = state.ledger.borrow_mut();
     let answer = ledger.claim(operation, claim, now)?;
-    if matches!(answer, ClaimAnswer::Full { .. }) && ledger.is_alarm_due(now) {
+    if matches!(answer, ClaimAnswer::Full { .. }) && ledger.is_full_log_due(now) {
         event!(state.context.log, LEDGER_FULL, "operations" => ledger.status().operations);
     }
     Some(answer)
 }
 
-/// Makes sure that an operation never runs, unless somebody else was granted it.
+/// Ensures that an operation never runs, unless it was granted to another claim.
 pub async fn close(state: &Rc<State>, operation: &OperationId, claim: &ClaimId) -> Decision {
     match close_at_issuer(state, operation, claim).await {
         Ok(answer) => Decision::Answered(answer),
-        Err(_) => archived(state, operation).await,
+        Err(_) => lookup_sealed(state, operation).await,
     }
 }
 
@@ -85,11 +90,11 @@
     claim: &ClaimId,
 ) -> Result<ClaimAnswer, Unavailable> {
     let now = state.context.clock.now();
-    let here = state.ledger.borrow_mut().close(operation, claim, now);
-    if let Some(answer) = here {
+    let local_answer = state.ledger.borrow_mut().close(operation, claim, now);
+    if let Some(answer) = local_answer {
         return Ok(answer);
     }
-    let client = issuer(state, operation.session()).await?;
+    let client = issuer_client(state, operation.session()).await?;
     let answer = client.close(operation, claim.number()).await;
     if answer.is_err() {
         state.peers.drop_client(&client);
@@ -97,8 +102,8 @@
     Ok(answer?)
 }
 
-/// Reports the end of an operation once; returns whether the issuer recorded it.
-async fn report(
+/// Reports the completion of an operation once; returns whether the issuer recorded it.
+async fn report_completion(
     state: &State,
     operation: &OperationId,
     claim: &ClaimId,
@@ -109,11 +114,11 @@
         return Ok(answer.verdict() == Some(Verdict::NotRun));
     }
     let now = state.context.clock.now();
-    let here = state.ledger.borrow_mut().complete(operation, claim, completion, now);
-    if let Some(answer) = here {
+    let local_answer = state.ledger.borrow_mut().complete(operation, claim, completion, now);
+    if let Some(answer) = local_answer {
         return Ok(answer == CompletionAnswer::Recorded);
     }
-    let client = issuer(state, operation.session()).await?;
+    let client = issuer_client(state, operation.session()).await?;
     let answer = client.complete(operation, claim.number(), completion).await;
     if answer.is_err() {
         state.peers.drop_client(&client);
@@ -121,57 +126,57 @@
     Ok(answer? == CompletionAnswer::Recorded)
 }
 
-/// Tells the issuer how an operation ended; returns whether it recorded that. When it does not
-/// answer, further reports follow in the background.
+/// Reports to the issuer how an operation ended; returns whether the issuer recorded it. If the
+/// issuer does not answer, the report is repeated in the background.
 pub async fn complete(
     state: &Rc<State>,
     operation: &OperationId,
     claim: &ClaimId,
     completion: Completion,
 ) -> bool {
-    match report(state, operation, claim, &completion).await {
+    match report_completion(state, operation, claim, &completion).await {
         Ok(recorded) => recorded,
         Err(_) => {
-            report_later(state, operation, claim, completion);
+            report_in_background(state, operation, claim, completion);
             false
         }
     }
 }
 
-/// Reports the end of an operation until the issuer answers, its incarnation is known to have
-/// ended, or the session has. Over the bound on such reports, the operation stays as it is at the
-/// issuer and becomes may-have-run there.
-fn report_later(
+/// Reports the completion of an operation until the issuer answers, its incarnation is known to
+/// have ended, or the session ends. If too many reports are pending, none is sent: the operation
+/// keeps its state at the issuer and becomes may-have-run there.
+fn report_in_background(
     state: &Rc<State>,
     operation: &OperationId,
     claim: &ClaimId,
     completion: Completion,
 ) {
-    let Ok(permit) = Arc::clone(&state.late_reports).try_acquire_owned() else { return };
+    let Ok(permit) = Arc::clone(&state.report_permits).try_acquire_owned() else { return };
     let (state, operation, claim) = (Rc::clone(state), operation.clone(), claim.clone());
     tokio::task::spawn_local(async move {
         let _permit = permit;
         let clock = state.context.clock;
-        let give_up = clock.now().plus(operation.session().lifetime());
-        let mut wait = REPORT_WAIT;
-        while clock.now() < give_up {
-            tokio::time::sleep(wait).await;
-            wait = (wait * 2).min(REPORT_WAIT_MAX);
-            match report(&state, &operation, &claim, &completion).await {
+        let deadline = clock.now().plus(operation.session().lifetime());
+        let mut delay = REPORT_RETRY_DELAY;
+        while clock.now() < deadline {
+            tokio::time::sleep(delay).await;
+            delay = (delay * 2).min(REPORT_RETRY_DELAY_MAX);
+            match report_completion(&state, &operation, &claim, &completion).await {
                 Ok(_) | Err(Unavailable::Gone) => return,
-                Err(Unavailable::Silent) => {}
+                Err(Unavailable::Unresponsive) => {}
             }
         }
     });
 }
 
-/// A session for a caller of this process: its own, or a peer's while this process leaves.
+/// Issues a session for a caller, at a peer if this process is leaving.
 pub async fn issue(state: &Rc<State>) -> Option<Session> {
     let now = state.context.clock.now();
-    if !state.leaving.get() {
+    if !state.is_leaving.get() {
         return state.ledger.borrow_mut().issue(now);
     }
-    for entry in ranked(state, &state.context.identity.vm, |entry| entry == EntryState::Live) {
+    for entry in rank_peers(state, &state.context.identity.vm, |entry| entry == EntryState::Live) {
         let Ok(client) = state.peers.client(&entry).await else { continue };
         if let Ok(Some(session)) = client.issue().await {
             return Some(session);
@@ -180,43 +185,47 @@
     None
 }
 
-/// Other entries in the order in which they hold the sealed ledger of `issuer`.
-pub fn ranked(state: &State, issuer: &VmId, wanted: impl Fn(EntryState) -> bool) -> Vec<EntryVm> {
+/// Returns the other entries in a wanted state, ranked as holders of the sealed ledger of `issuer`.
+pub fn rank_peers(
+    state: &State,
+    issuer: &VmId,
+    is_wanted: impl Fn(EntryState) -> bool,
+) -> Vec<EntryVm> {
     let own = &state.context.identity.vm;
     let mut entries = state.view.borrow().entries();
-    entries.retain(|entry| entry.vm != *own && wanted(entry.state));
+    entries.retain(|entry| entry.vm != *own && is_wanted(entry.state));
     let weight = |entry: &EntryVm| rendezvous_weight(issuer.as_str(), entry.vm.as_str());
     entries.sort_by_key(|entry| std::cmp::Reverse(weight(entry)));
     entries
 }
 
-/// Why an issuer cannot be asked.
+/// Why an issuer cannot be called.
 enum Unavailable {
-    /// Its incarnation has ended or its VM is not known: only its sealed ledger can tell.
+    /// Its incarnation has ended or its VM is unknown; only its sealed ledger has the answer.
     Gone,
-    /// It does not answer; it may be paused, cut off or dead.
-    Silent,
+    /// It does not answer; it may be paused, partitioned or dead.
+    Unresponsive,
 }
 
 impl From<PeerError> for Unavailable {
     fn from(_: PeerError) -> Self {
-        Self::Silent
+        Self::Unresponsive
     }
 }
 
-/// The connection to the incarnation that issued a session.
+/// Returns the connection to the incarnation that issued a session.
 ///
-/// An issuer under suspicion is not called, as every caller would wait for the timeout: heartbeats
-/// go on and lift the suspicion.
-async fn issuer(state: &State, session: &Session) -> Result<Rc<PeerClient>, Unavailable> {
+/// A suspected issuer is not called, because every caller would wait for the timeout. Heartbeats
+/// continue and end the suspicion.
+async fn issuer_client(state: &State, session: &Session) -> Result<Rc<PeerClient>, Unavailable> {
     let entries = state.view.borrow().entries();
     let found = entries.into_iter().find(|entry| entry.vm == *session.issuer());
     let entry = found.ok_or(Unavailable::Gone)?;
-    if entry.incarnation.is_some_and(|heard| heard != session.incarnation()) {
+    if entry.incarnation.is_some_and(|incarnation| incarnation != session.incarnation()) {
         return Err(Unavailable::Gone);
     }
     if entry.state == EntryState::Suspected {
-        return Err(Unavailable::Silent);
+        return Err(Unavailable::Unresponsive);
     }
     let client = state.peers.client(&entry).await?;
     if client.peer().incarnation != session.incarnation() {
@@ -225,14 +234,14 @@
     Ok(client)
 }
 
-/// Asks the peers that may hold the issuer's sealed ledger; the first that does decides, since
-/// copies cannot disagree.
+/// Queries the peers that may hold the issuer's sealed ledger. The first answer is used, since all
+/// copies are identical.
 ///
-/// Look-ups at once are bounded, since a caller can name issuers that never were.
-async fn archived(state: &Rc<State>, operation: &OperationId) -> Decision {
-    let Ok(_permit) = state.lookups.try_acquire() else { return Decision::Unreachable };
+/// Concurrent lookups are limited, because a caller can name issuers that never existed.
+async fn lookup_sealed(state: &Rc<State>, operation: &OperationId) -> Decision {
+    let Ok(_permit) = state.lookup_permits.try_acquire() else { return Decision::Unreachable };
     let issuer = operation.session().issuer();
-    let mut holders = ranked(state, issuer, |entry| entry != EntryState::Suspected);
+    let mut holders = rank_peers(state, issuer, |entry| entry != EntryState::Suspected);
     holders.retain(|entry| entry.vm != *issuer);
     holders.truncate(LOOKUP_PEERS_MAX);
     let mut answers: FuturesUnordered<_> =
--- a/crates/shallotd/src/control/peer_calls.rs
+++ b/crates/shallotd/src/control/peer_calls.rs
@@ -1,4 +1,4 @@
-//! What this process does when another entry calls it.
+//! Handlers for calls from other entries.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,20 +9,20 @@
 };
 use shallotfork_peer::{Changes, ChangesRequest, Heartbeat, PeerHandler, PeerId};
 
-use crate::control::lists_pull::{published, pull_lists_from, value_change};
+use crate::control::lists_apply::apply_lists;
+use crate::control::lists_pull::{connect_and_pull_lists, to_published_list, to_value_change};
 use crate::control::lists_source::ListSource;
-use crate::control::lists_take::take_lists;
-use crate::control::members::{heard, own_heartbeat, peer_news};
-use crate::control::operations::claim_here;
+use crate::control::members::{handle_heartbeat, own_heartbeat, to_peer_update};
+use crate::control::operations::claim_locally;
 use crate::control::state::State;
 
-/// Answers calls of entries that have proved the shared key.
+/// Handles calls of entries that have proved the shared key.
 pub struct PeerCalls {
     state: Rc<State>,
 }
 
 impl PeerCalls {
-    /// Answers from this state.
+    /// Creates handlers that use the given state.
     pub fn new(state: Rc<State>) -> Self {
         Self { state }
     }
@@ -33,17 +33,21 @@
         event!(self.state.context.log, PEER_REFUSED, "from" => from.to_string());
     }
 
-    async fn heartbeat(&self, from: &PeerId, beat: Heartbeat) -> Heartbeat {
-        heard(&self.state, from, &beat);
+    async fn heartbeat(&self, from: &PeerId, heartbeat: Heartbeat) -> Heartbeat {
+        handle_heartbeat(&self.state, from, &heartbeat);
         let mut own = own_heartbeat(&self.state);
         let suspicion = self.state.view.borrow().suspicion_of(&from.vm);
-        own.updates.extend(suspicion.map(peer_news));
-        tokio::task::spawn_local(pull_lists_from(Rc::clone(&self.state), from.clone(), beat));
+        own.updates.extend(suspicion.map(to_peer_update));
+        tokio::task::spawn_local(connect_and_pull_lists(
+            Rc::clone(&self.state),
+            from.clone(),
+            heartbeat,
+        ));
         own
     }
 
     async fn claim(&self, operation: OperationId, claim: ClaimId) -> ClaimAnswer {
-        claim_here(&self.state, &operation, &claim).unwrap_or(ClaimAnswer::MayHaveRun)
+        claim_locally(&self.state, &operation, &claim).unwrap_or(ClaimAnswer::MayHaveRun)
     }
 
     async fn complete(
@@ -72,16 +76,16 @@
     }
 
     async fn issue(&self) -> Option<Session> {
-        if self.state.leaving.get() {
+        if self.state.is_leaving.get() {
             return None;
         }
         let now = self.state.context.clock.now();
         self.state.ledger.borrow_mut().issue(now)
     }
 
-    async fn changes(&self, asked: ChangesRequest) -> Option<Changes> {
+    async fn changes(&self, request: ChangesRequest) -> Option<Changes> {
         let lists = self.state.lists.borrow();
-        let values = lists.newer_than(asked.after).into_iter().map(value_change).collect();
+        let values = lists.changed_after(request.after).into_iter().map(to_value_change).collect();
         Some(Changes {
             revision: lists.cursor.synced_revision(),
             values,
@@ -91,12 +95,12 @@
     }
 
     async fn push(&self, from: &PeerId, changes: Changes) {
-        let lists = changes.values.into_iter().filter_map(published).collect();
-        take_lists(&self.state, lists, &ListSource::Peer(from.vm.clone()));
+        let lists = changes.values.into_iter().filter_map(to_published_list).collect();
+        apply_lists(&self.state, lists, &ListSource::Peer(from.vm.clone()));
     }
 
     async fn handoff(&self, _from: &PeerId, part: LedgerPart) -> bool {
         let now = self.state.context.clock.now();
-        self.state.ledger.borrow_mut().keep(part, now)
+        self.state.ledger.borrow_mut().add_sealed_part(part, now)
     }
 }
--- a/crates/shallotd/src/control/peers.rs
+++ b/crates/shallotd/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to other entries, opened when first needed.
+//! Connections to other entries, opened on demand.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -11,55 +11,55 @@
 use tokio::sync::Mutex;
 use tokio::time::Instant;
 
-/// One open connection, and the address that it was opened to.
-struct Open {
+/// An open connection and the address that it was opened to.
+struct OpenConnection {
     endpoint: Endpoint,
     client: Rc<PeerClient>,
 }
 
-/// Why an entry could not be reached, and when that was found.
+/// The last failure to reach an entry.
 struct Failure {
-    at: Instant,
+    failed_at: Instant,
     error: PeerError,
 }
 
-/// Time after a failure in which an entry is not tried again.
-const BACK_OFF: Duration = Duration::from_millis(500);
+/// Time after a failure during which no connection to the entry is attempted.
+const RECONNECT_DELAY: Duration = Duration::from_millis(500);
 
-/// The connections of this process to other entries.
+/// Connections of this process to other entries.
 pub struct Peers {
     key: PeerKey,
     own_id: PeerId,
     config: PeerConfig,
-    open: RefCell<HashMap<VmId, Open>>,
-    connecting: RefCell<HashMap<VmId, Rc<Mutex<()>>>>,
+    open: RefCell<HashMap<VmId, OpenConnection>>,
+    connect_locks: RefCell<HashMap<VmId, Rc<Mutex<()>>>>,
     failures: RefCell<HashMap<Endpoint, Failure>>,
 }
 
 impl Peers {
-    /// No connection yet.
+    /// Creates an instance without connections.
     pub fn new(key: PeerKey, own_id: PeerId, config: PeerConfig) -> Self {
         Self {
             key,
             own_id,
             config,
             open: RefCell::default(),
-            connecting: RefCell::default(),
+            connect_locks: RefCell::default(),
             failures: RefCell::default(),
         }
     }
 
-    /// The connection to an entry, opened if there is none.
+    /// Returns the connection to an entry, and opens one if necessary.
     ///
     /// # Errors
-    /// When the entry cannot be reached or does not prove the key.
+    /// Returns an error if the entry cannot be reached or does not prove the key.
     pub async fn client(&self, entry: &EntryVm) -> Result<Rc<PeerClient>, PeerError> {
-        if let Some(client) = self.existing(entry) {
+        if let Some(client) = self.open_client(entry) {
             return Ok(client);
         }
-        let connecting = self.connecting(&entry.vm);
-        let _turn = connecting.lock().await;
-        if let Some(client) = self.existing(entry) {
+        let connect_lock = self.connect_lock(&entry.vm);
+        let _guard = connect_lock.lock().await;
+        if let Some(client) = self.open_client(entry) {
             return Ok(client);
         }
         if let Some(error) = self.recent_failure(entry.peers) {
@@ -70,18 +70,19 @@
         match connected {
             Ok(client) => {
                 let client = Rc::new(client);
-                let open = Open { endpoint: entry.peers, client: Rc::clone(&client) };
+                let open = OpenConnection { endpoint: entry.peers, client: Rc::clone(&client) };
                 self.open.borrow_mut().insert(entry.vm.clone(), open);
                 Ok(client)
             }
             Err(error) => {
-                self.note_failure(entry.peers, error.clone());
+                self.record_failure(entry.peers, error.clone());
                 Err(error)
             }
         }
     }
 
-    /// Drops a connection on which a call got no answer; a new one is not tried for a short time.
+    /// Drops a connection on which a call was not answered; no new connection is attempted for a
+    /// short time.
     pub fn drop_client(&self, client: &Rc<PeerClient>) {
         let vm = &client.peer().vm;
         let mut open = self.open.borrow_mut();
@@ -89,35 +90,36 @@
             return;
         }
         if let Some(dropped) = open.remove(vm) {
-            self.note_failure(dropped.endpoint, PeerError::TimedOut);
+            self.record_failure(dropped.endpoint, PeerError::TimedOut);
         }
     }
 
-    /// Why the last try failed, while that is recent.
+    /// Returns the error of the last failure to reach an endpoint if it is recent.
     ///
-    /// A paused process takes connections and answers nothing. Without this, all who wait for a
-    /// connection to it would try in turn, each for the whole timeout, and the callers of the last
-    /// would give up unanswered.
+    /// A paused process accepts connections but answers nothing. Without this check, all tasks that
+    /// wait for a connection to it would try one after another, each for the whole timeout, and the
+    /// callers of the last ones would give up without an answer.
     fn recent_failure(&self, endpoint: Endpoint) -> Option<PeerError> {
         let mut failures = self.failures.borrow_mut();
-        failures.retain(|_, failure| failure.at.elapsed() < BACK_OFF);
+        failures.retain(|_, failure| failure.failed_at.elapsed() < RECONNECT_DELAY);
         failures.get(&endpoint).map(|failure| failure.error.clone())
     }
 
-    fn note_failure(&self, endpoint: Endpoint, error: PeerError) {
-        let failure = Failure { at: Instant::now(), error };
+    fn record_failure(&self, endpoint: Endpoint, error: PeerError) {
+        let failure = Failure { failed_at: Instant::now(), error };
         self.failures.borrow_mut().insert(endpoint, failure);
     }
 
-    /// Held by the one task that connects to an entry. After an entry came back, many claims wait
-    /// for it at once: without this each would open a connection of its own.
-    fn connecting(&self, vm: &VmId) -> Rc<Mutex<()>> {
-        let mut connecting = self.connecting.borrow_mut();
-        connecting.retain(|other, turn| other == vm || Rc::strong_count(turn) > 1);
-        Rc::clone(connecting.entry(vm.clone()).or_default())
+    /// Returns the lock that the one task connecting to an entry holds. When an entry comes back,
+    /// many claims wait for it at the same time, and without the lock each would open its own
+    /// connection.
+    fn connect_lock(&self, vm: &VmId) -> Rc<Mutex<()>> {
+        let mut connect_locks = self.connect_locks.borrow_mut();
+        connect_locks.retain(|other, lock| other == vm || Rc::strong_count(lock) > 1);
+        Rc::clone(connect_locks.entry(vm.clone()).or_default())
     }
 
-    fn existing(&self, entry: &EntryVm) -> Option<Rc<PeerClient>> {
+    fn open_client(&self, entry: &EntryVm) -> Option<Rc<PeerClient>> {
         let open = self.open.borrow();
         let open = open.get(&entry.vm)?;
         let usable = open.endpoint == entry.peers && !open.client.is_closed();
--- a/crates/shallotd/src/control/publish.rs
+++ b/crates/shallotd/src/control/publish.rs
@@ -16,16 +16,16 @@
 use crate::snapshot::{Service, ServiceRules, ServiceTargets, Snapshot};
 use crate::traffic::{GateTarget, ServicePool};
 
-/// Replaces the snapshot by one of the state as it is now.
+/// Replaces the snapshot with one of the current state.
 ///
-/// Only services whose targets, rules or entries have changed are made anew: at the size to design
-/// for, a change of one list must not cost the work of 1,200.
+/// Only services whose targets, rules or entries have changed are rebuilt: at the intended fleet
+/// size, a change of one list must not cost as much as a change of 1,200.
 pub fn publish(state: &State) {
     let context = &state.context;
     let entries = state.view.borrow().entries();
     let lists = state.lists.borrow();
     let old = context.snapshot();
-    let maker = ServiceMaker {
+    let builder = ServiceBuilder {
         state,
         lists: &lists,
         rules: lists.serving_rules(),
@@ -34,9 +34,9 @@
     };
     let mut services = BTreeMap::new();
     for (name, targets) in &lists.targets {
-        services.insert(name.clone(), maker.service(name, targets, old.services.get(name)));
+        services.insert(name.clone(), builder.service(name, targets, old.services.get(name)));
     }
-    let ready = maker.rules.is_some();
+    let ready = builder.rules.is_some();
     let new = Snapshot { ready, services, entries };
     let changes = target_changes(&old, &new);
     let gate_targets =
@@ -46,8 +46,8 @@
     state.ready.send_if_modified(|was| std::mem::replace(was, ready) != ready);
 }
 
-/// Makes the services of one snapshot.
-struct ServiceMaker<'a> {
+/// Builds the services of one snapshot.
+struct ServiceBuilder<'a> {
     state: &'a State,
     lists: &'a Lists,
     rules: Option<Arc<ServiceIndex>>,
@@ -55,7 +55,7 @@
     same_entries: bool,
 }
 
-impl ServiceMaker<'_> {
+impl ServiceBuilder<'_> {
     fn service(
         &self,
         name: &ServiceName,
@@ -115,16 +115,16 @@
 
     fn rules(&self, name: &ServiceName, old: Option<&Arc<Service>>) -> Option<Arc<ServiceRules>> {
         let index = self.rules.as_ref()?;
-        let part = self.lists.parts.get(name);
+        let part = self.lists.service_rules.get(name);
         let old = old.and_then(|old| old.rules.as_ref());
-        if let Some(old) = old.filter(|old| is_made_from(old, index, part)) {
+        if let Some(old) = old.filter(|old| is_built_from(old, index, part)) {
             return Some(Arc::clone(old));
         }
         Some(Arc::new(ServiceRules::new(name, Arc::clone(index), part.cloned())))
     }
 }
 
-fn is_made_from(
+fn is_built_from(
     rules: &ServiceRules,
     index: &Arc<ServiceIndex>,
     part: Option<&Arc<ServiceRuleList>>,
@@ -155,7 +155,8 @@
     Arc::clone(pool)
 }
 
-/// Policies to compare with have no queue and no hedges.
+/// Returns the base configuration of a policy. Policies other than `LoadAware` are for comparison
+/// and have neither queue nor hedges.
 fn pool_config(policy: Policy) -> PoolConfig {
     if policy == Policy::LoadAware {
         return PoolConfig::default();
--- a/crates/shallotd/src/control/report.rs
+++ b/crates/shallotd/src/control/report.rs
@@ -1,4 +1,4 @@
-//! What operators see of this process.
+//! Reports about this process for operators.
 
 use shallotfork_platform::TargetInfo;
 use shallotfork_types::report::{
@@ -8,7 +8,7 @@
 use crate::control::state::State;
 use crate::snapshot::Service;
 
-/// The state as it is now.
+/// Returns the current status.
 pub fn status(state: &State) -> StatusReport {
     let context = &state.context;
     let snapshot = context.snapshot();
@@ -34,7 +34,7 @@
     }
 }
 
-/// Sums over the services served.
+/// Returns the sums over all services.
 fn budgets(state: &State) -> BudgetStatus {
     let mut total = BudgetStatus {
         probes: state.probes_sent.get(),
@@ -50,34 +50,34 @@
     total
 }
 
-/// The trail of changes.
+/// Returns the audit trail.
 pub fn audit(state: &State) -> AuditReport {
     let vm = state.context.identity.vm.clone();
     AuditReport { vm, changes: state.audit.borrow().changes() }
 }
 
 fn life_cycle(state: &State) -> LifeCycleState {
-    if state.leaving.get() {
+    if state.is_leaving.get() {
         return LifeCycleState::Leaving;
     }
     if *state.ready.borrow() { LifeCycleState::Serving } else { LifeCycleState::Starting }
 }
 
 fn targets(service: &Service) -> Vec<TargetStatus> {
-    let seen = service.pool.status();
+    let pool_status = service.pool.status();
     let status = |target: &TargetInfo| {
-        let found = seen.iter().find(|seen| seen.id == target.id);
-        let ejected = found.is_some_and(|seen| seen.ejected);
+        let found = pool_status.iter().find(|status| status.id == target.id);
+        let ejected = found.is_some_and(|status| status.ejected);
         let published = format!("{:?}", target.state).to_lowercase();
         TargetStatus {
             id: target.id.clone(),
             service: target.service.clone(),
             state: if ejected { EJECTED.to_owned() } else { published },
-            in_flight: found.map_or(0, |seen| seen.running),
+            in_flight: found.map_or(0, |status| status.running),
         }
     };
     service.targets.by_id.values().map(status).collect()
 }
 
-/// State of a target that is left out for its failures.
+/// Reported state of a target that is left out of selection after failures.
 const EJECTED: &str = "ejected";
--- a/crates/shallotd/src/control/state.rs
+++ b/crates/shallotd/src/control/state.rs
@@ -1,4 +1,4 @@
-//! The state that only the control thread touches.
+//! State used only by the control thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,44 +19,45 @@
 use crate::snapshot::Snapshot;
 use crate::traffic::ServicePool;
 
-/// Control state. A borrow never lives across an await, so tasks of the thread can't collide.
+/// State of the control thread. No borrow is held across an await, so the thread's tasks cannot
+/// conflict.
 pub struct State {
-    /// Shared with the traffic threads.
+    /// Context shared with the traffic threads.
     pub context: Arc<Context>,
-    /// Where lists are published.
+    /// The platform that publishes the lists.
     pub platform: Box<dyn Platform>,
-    /// Whether the platform cannot be read, or only a replica that is behind.
-    pub platform_lost: Cell<bool>,
-    /// Entries that say the same of themselves.
-    pub blind: RefCell<BTreeSet<VmId>>,
-    /// Wakes what announces a list that has taken effect.
+    /// Whether the platform cannot be read, or only through a replica that is behind.
+    pub is_disconnected: Cell<bool>,
+    /// Entries that report to be disconnected from the platform.
+    pub disconnected_entries: RefCell<BTreeSet<VmId>>,
+    /// Notified when a list has come into force.
     pub lists_changed: Notify,
-    /// When the lists of peers are read.
-    pub pulls: RefCell<PullGate>,
+    /// Limits pulls of lists from peers.
+    pub pull_gate: RefCell<PullGate>,
     /// Published lists in force.
     pub lists: RefCell<Lists>,
-    /// Which entries are alive.
+    /// This process's view of the other entries.
     pub view: RefCell<MembershipView>,
-    /// Sessions issued here, and sealed ledgers of others.
+    /// Sessions issued by this process and sealed ledgers of others.
     pub ledger: RefCell<Ledger>,
     /// Connections to other entries.
     pub peers: Peers,
-    /// Bounds the ends of operations that are reported in the background.
-    pub late_reports: Arc<Semaphore>,
-    /// Bounds the look-ups at peers of ledgers whose issuer is gone.
-    pub lookups: Semaphore,
-    /// The trail of changes.
+    /// Limits completions that are reported in the background.
+    pub report_permits: Arc<Semaphore>,
+    /// Limits lookups at peers of operations whose issuer is gone.
+    pub lookup_permits: Semaphore,
+    /// The audit trail.
     pub audit: RefCell<AuditTrail>,
     /// Pools of the services with published targets.
     pub pools: RefCell<BTreeMap<ServiceName, Arc<ServicePool>>>,
-    /// When this process may probe which target.
-    pub probes: RefCell<ProbeScheduler>,
-    /// The snapshot whose targets the plan knows.
-    pub probed: RefCell<Arc<Snapshot>>,
-    /// Probes sent so far.
+    /// Decides when this process may probe which target.
+    pub probe_scheduler: RefCell<ProbeScheduler>,
+    /// The snapshot whose targets the probe scheduler has.
+    pub probed_snapshot: RefCell<Arc<Snapshot>>,
+    /// Number of probes sent so far.
     pub probes_sent: Cell<u64>,
     /// Whether a planned stop has begun.
-    pub leaving: Cell<bool>,
+    pub is_leaving: Cell<bool>,
     /// Whether a rule list is in force.
     pub ready: watch::Sender<bool>,
 }
--- a/crates/shallotd/src/control/target_changes.rs
+++ b/crates/shallotd/src/control/target_changes.rs
@@ -1,4 +1,4 @@
-//! Which targets differ between two snapshots.
+//! Differences between the targets of two snapshots.
 
 use std::sync::Arc;
 
@@ -6,16 +6,17 @@
 
 use crate::snapshot::{Service, Snapshot};
 
-/// Targets of the services whose published lists differ.
+/// Targets of the services whose published target lists differ.
 #[derive(Default)]
 pub struct TargetChanges<'a> {
-    /// In the old snapshot only.
+    /// Targets only in the old snapshot, or there under another address.
     pub gone: Vec<&'a TargetInfo>,
-    /// In the new snapshot; new, changed, or in a list with others that are.
+    /// All targets of the changed lists in the new snapshot, including unchanged ones.
     pub present: Vec<&'a TargetInfo>,
 }
 
-/// Compares two snapshots; services that share their targets cost no look at the targets.
+/// Compares two snapshots. Services that share the same target list are skipped without comparing
+/// their targets.
 pub fn target_changes<'a>(old: &'a Snapshot, new: &'a Snapshot) -> TargetChanges<'a> {
     let mut changes = TargetChanges::default();
     for (name, service) in &new.services {
--- a/crates/shallotd/src/control/thread.rs
+++ b/crates/shallotd/src/control/thread.rs
@@ -26,37 +26,40 @@
 use crate::control::handoff::seal;
 use crate::control::ledger::Ledger;
 use crate::control::lists::Lists;
-use crate::control::members::{announce_lists, heartbeats, tell_leaving, untold_wait};
+use crate::control::members::{
+    announce_leaving, announce_list_changes, run_heartbeats, stale_advertisement_time,
+};
 use crate::control::peer_calls::PeerCalls;
 use crate::control::peers::Peers;
-use crate::control::probes::{probe_plan, probes};
+use crate::control::probes::{new_probe_scheduler, run_probes};
 use crate::control::state::State;
-use crate::control::watch::watch;
+use crate::control::watch::watch_platform;
 use crate::control::{operations, publish::publish, report};
 
-/// What the control thread takes over from start-up.
+/// Everything that start-up hands to the control thread.
 pub struct ControlParts {
-    /// Shared with the traffic threads.
+    /// Context shared with the traffic threads.
     pub context: Arc<Context>,
-    /// Questions of the traffic threads.
+    /// Commands of the traffic threads.
     pub commands: mpsc::UnboundedReceiver<Command>,
-    /// Bound port for other entries.
+    /// Bound listener for other entries.
     pub peer_listener: StdListener,
-    /// The key that entries prove to each other.
+    /// Key that entries prove to each other.
     pub key: PeerKey,
-    /// Signs the sessions of this incarnation.
+    /// Secret that signs the sessions of this incarnation.
     pub secret: Secret,
-    /// Becomes true when a rule list is in force.
+    /// Set to true when a rule list is in force.
     pub ready: watch_channel::Sender<bool>,
 }
 
-/// How often the lists of a peer are read again while they differ from the own ones in the same way.
-const PULL_REPEAT: Duration = Duration::from_secs(5);
+/// Minimum time between two pulls from a peer while the difference between its lists and those of
+/// this process stays the same.
+const PULL_REPEAT_PERIOD: Duration = Duration::from_secs(5);
 
-/// Starts the control thread; it runs until the process ends.
+/// Starts the control thread, which runs until the process ends.
 ///
 /// # Errors
-/// When the thread or its runtime cannot be made.
+/// Returns an error if the thread or its runtime cannot be created.
 pub fn start(parts: ControlParts) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     thread::Builder::new().name("control".to_owned()).spawn(move || {
@@ -75,7 +78,8 @@
     let state = Rc::new(state(context, platform, key.clone(), secret, ready));
     publish(&state);
     let timer = TimerService::new(state.context.clock);
-    let listener = TcpListener::from_std(peer_listener).context("peers' port")?;
+    let listener =
+        TcpListener::from_std(peer_listener).context("cannot use the listener for peers")?;
     let server = PeerServer::new(
         listener,
         key,
@@ -84,11 +88,11 @@
         Rc::new(PeerCalls::new(Rc::clone(&state))),
     );
     tokio::task::spawn_local(server.serve());
-    tokio::task::spawn_local(watch(Rc::clone(&state)));
-    tokio::task::spawn_local(announce_lists(Rc::clone(&state)));
-    tokio::task::spawn_local(heartbeats(Rc::clone(&state), timer.clone()));
-    tokio::task::spawn_local(probes(Rc::clone(&state), timer));
-    answer_commands(state, commands).await;
+    tokio::task::spawn_local(watch_platform(Rc::clone(&state)));
+    tokio::task::spawn_local(announce_list_changes(Rc::clone(&state)));
+    tokio::task::spawn_local(run_heartbeats(Rc::clone(&state), timer.clone()));
+    tokio::task::spawn_local(run_probes(Rc::clone(&state), timer));
+    handle_commands(state, commands).await;
     Ok(())
 }
 
@@ -110,21 +114,21 @@
     State {
         platform,
         lists_changed: Notify::new(),
-        pulls: RefCell::new(PullGate::new(PULL_REPEAT)),
+        pull_gate: RefCell::new(PullGate::new(PULL_REPEAT_PERIOD)),
         lists: RefCell::new(Lists::default()),
         view: RefCell::new(view),
         ledger: RefCell::new(ledger),
         peers,
-        lookups: Semaphore::new(operations::LOOKUPS_MAX),
-        late_reports: Arc::new(Semaphore::new(operations::LATE_REPORTS_MAX)),
+        lookup_permits: Semaphore::new(operations::CONCURRENT_LOOKUPS_MAX),
+        report_permits: Arc::new(Semaphore::new(operations::BACKGROUND_REPORTS_MAX)),
         audit: RefCell::new(AuditTrail::default()),
         pools: RefCell::new(BTreeMap::new()),
-        probes: RefCell::new(probe_plan(&context)),
+        probe_scheduler: RefCell::new(new_probe_scheduler(&context)),
         probes_sent: Cell::new(0),
-        probed: RefCell::default(),
-        leaving: Cell::new(false),
-        platform_lost: Cell::new(false),
-        blind: RefCell::default(),
+        probed_snapshot: RefCell::default(),
+        is_leaving: Cell::new(false),
+        is_disconnected: Cell::new(false),
+        disconnected_entries: RefCell::default(),
         ready,
         context,
     }
@@ -169,63 +173,65 @@
         .with_timeout(platform.timeout)
 }
 
-async fn answer_commands(state: Rc<State>, mut commands: mpsc::UnboundedReceiver<Command>) {
+async fn handle_commands(state: Rc<State>, mut commands: mpsc::UnboundedReceiver<Command>) {
     while let Some(command) = commands.recv().await {
-        answer(&state, command);
+        handle_command(&state, command);
     }
 }
 
-/// Answers one question; a questioner that is gone needs no answer.
-fn answer(state: &Rc<State>, command: Command) {
+/// Handles one command; a reply whose receiver has been dropped is discarded.
+fn handle_command(state: &Rc<State>, command: Command) {
     match command {
         Command::Issue(reply) => {
             let state = Rc::clone(state);
             tokio::task::spawn_local(async move {
-                let _gone = reply.send(operations::issue(&state).await);
+                let _reply_dropped = reply.send(operations::issue(&state).await);
             });
         }
         Command::Claim(operation, claim, reply) => {
             let state = Rc::clone(state);
             tokio::task::spawn_local(async move {
-                let _gone = reply.send(operations::claim(&state, &operation, &claim).await);
+                let _reply_dropped =
+                    reply.send(operations::claim(&state, &operation, &claim).await);
             });
         }
         Command::Close(operation, claim, reply) => {
             let state = Rc::clone(state);
             tokio::task::spawn_local(async move {
-                let _gone = reply.send(operations::close(&state, &operation, &claim).await);
+                let _reply_dropped =
+                    reply.send(operations::close(&state, &operation, &claim).await);
             });
         }
         Command::Complete(operation, claim, completion, reply) => {
             let state = Rc::clone(state);
             tokio::task::spawn_local(async move {
                 let done = operations::complete(&state, &operation, &claim, completion).await;
-                let _gone = reply.send(done);
+                let _reply_dropped = reply.send(done);
             });
         }
         Command::Status(reply) => {
-            let _gone = reply.send(report::status(state));
+            let _reply_dropped = reply.send(report::status(state));
         }
         Command::Audit(reply) => {
-            let _gone = reply.send(report::audit(state));
+            let _reply_dropped = reply.send(report::audit(state));
         }
         Command::List(name, reply) => {
-            let _gone = reply.send(state.lists.borrow().text(&name));
+            let _reply_dropped = reply.send(state.lists.borrow().content(&name));
         }
         Command::Leave(reply) => {
             let state = Rc::clone(state);
             tokio::task::spawn_local(async move {
-                if !tell_leaving(&state).await {
-                    tokio::time::sleep(untold_wait(&state)).await;
+                if !announce_leaving(&state).await {
+                    tokio::time::sleep(stale_advertisement_time(&state)).await;
                 }
-                let _gone = reply.send(());
+                let _reply_dropped = reply.send(());
             });
         }
         Command::Seal(reply) => {
             let state = Rc::clone(state);
             tokio::task::spawn_local(async move {
                 seal(&state).await;
-                let _gone = reply.send(());
+                let _reply_dropped = reply.send(());
             });
         }
     }
