--- a/crates/gateway/src/control/advertise.rs
+++ b/crates/gateway/src/control/advertise.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use shallotfork_events::{ACTIVE_CHANGED, ENTRY_CHANGED, event};
+use shallotfork_events::{ADVERTISED_ENTRIES_CHANGED, ENTRY_STATE_CHANGED, event};
 use shallotfork_fleet::{AdvertisedEntry, FleetView};
 use shallotfork_membership::EntryVm;
 use shallotfork_types::VmId;
@@ -35,7 +35,7 @@
     state.known_entries.set(state.known_entries.get().max(live_entries));
     if has_changed {
         let names: Vec<&str> = advertised.iter().map(|entry| entry.vm.as_str()).collect();
-        event!(state.context.log, ACTIVE_CHANGED, "entries" => names.join(","),
+        event!(state.context.log, ADVERTISED_ENTRIES_CHANGED, "entries" => names.join(","),
             "live" => live_entries, "known" => state.known_entries.get());
     }
     let is_advertised =
@@ -106,7 +106,7 @@
     for entry in current.entries.values().filter(is_changed) {
         let incarnation =
             entry.incarnation.map_or_else(|| "unknown".to_owned(), |known| known.to_string());
-        event!(state.context.log, ENTRY_CHANGED, "entry" => entry.vm.as_str(),
+        event!(state.context.log, ENTRY_STATE_CHANGED, "entry" => entry.vm.as_str(),
             "state" => entry.state.to_string(), "incarnation" => incarnation);
     }
 }
--- a/crates/gateway/src/control/publish.rs
+++ b/crates/gateway/src/control/publish.rs
@@ -6,7 +6,7 @@
 use shallotfork_balance::SlotTarget;
 use shallotfork_evacuation::{EvacuationChange, EvacuationEvent, Evacuations};
 use shallotfork_events::{
-    EVACUATION_BEGUN, EVACUATION_ENDED, EVACUATION_INVALID, PUBLISHED_IGNORED, ROUTES_ACCEPTED,
+    EVACUATION_ENDED, EVACUATION_INVALID, EVACUATION_STARTED, PUBLISHED_IGNORED, ROUTES_ACCEPTED,
     ROUTES_REFUSED, TARGET_CHANGED, TARGETS_CHANGED, event,
 };
 use shallotfork_roster::{Availability, RosterChange, TargetChange, TargetRecord};
@@ -140,7 +140,7 @@
     for event in events {
         match event {
             EvacuationEvent::Began(evacuation) => {
-                event!(log, EVACUATION_BEGUN,
+                event!(log, EVACUATION_STARTED,
                     "failure_domain" => evacuation.failure_domain.as_str(),
                     "revision" => evacuation.revision.value());
             }
--- a/crates/gateway/src/control/pull.rs
+++ b/crates/gateway/src/control/pull.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use shallotfork_events::{ITEMS_READ, TOLD_REFUSED, event};
+use shallotfork_events::{ITEMS_PULLED, PULL_REJECTED, event};
 use shallotfork_peer::{Changes, PeerClient, PeerError};
 use shallotfork_types::{FailureDomain, Mono, Revision};
 
@@ -110,7 +110,7 @@
     started_at: Mono,
     reason: &str,
 ) {
-    event!(state.context.log, TOLD_REFUSED, "peer" => source.client.peer().vm.as_str(),
+    event!(state.context.log, PULL_REJECTED, "peer" => source.client.peer().vm.as_str(),
         "reason" => reason, "after" => after.value(),
         "took_ms" => millis(state.now().since(started_at)));
 }
@@ -120,7 +120,7 @@
     if pull.bytes < LOG_MIN_SIZE.value() && duration < LOG_MIN_DURATION {
         return;
     }
-    event!(state.context.log, ITEMS_READ, "peer" => source.client.peer().vm.as_str(),
+    event!(state.context.log, ITEMS_PULLED, "peer" => source.client.peer().vm.as_str(),
         "after" => pull.after.value(), "revision" => pull.revision.value(),
         "items" => pull.items, "bytes" => pull.bytes, "took_ms" => millis(duration),
         "whole" => pull.whole);
--- a/crates/gateway/src/control/reader.rs
+++ b/crates/gateway/src/control/reader.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use rand::RngExt;
-use shallotfork_events::{PLATFORM_BACK, PLATFORM_LOST, event};
+use shallotfork_events::{PLATFORM_DISCONNECTED, PLATFORM_RECONNECTED, event};
 use shallotfork_types::Revision;
 use tokio::time::timeout;
 
@@ -152,7 +152,7 @@
 fn record_platform_failure(state: &ControlState, error: &FeedError) {
     let is_first = state.fleet.borrow_mut().platform.record_failure(state.context.clock.now());
     if is_first {
-        event!(state.context.log, PLATFORM_LOST, "reason" => error.to_string());
+        event!(state.context.log, PLATFORM_DISCONNECTED, "reason" => error.to_string());
         update_platform_state(state);
         update_advertised_entries(state);
     }
@@ -164,7 +164,7 @@
     if let Some(outage_started_at) = outage_started_at {
         let outage = state.context.clock.now().since(outage_started_at);
         let outage_ms = u64::try_from(outage.as_millis()).unwrap_or(u64::MAX);
-        event!(state.context.log, PLATFORM_BACK, "away_ms" => outage_ms);
+        event!(state.context.log, PLATFORM_RECONNECTED, "away_ms" => outage_ms);
         update_advertised_entries(state);
     }
 }
--- a/crates/gateway/src/control/serve_pulls.rs
+++ b/crates/gateway/src/control/serve_pulls.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 
 use metrics::{counter, gauge};
-use shallotfork_events::{ITEMS_TOLD, event};
+use shallotfork_events::{ITEMS_SERVED, event};
 use shallotfork_feed::{PACK_MIN_BYTES, PullResponse, RawItem, pack};
 use shallotfork_peer::{Bundle, Changes, ChangesRequest, ValueChange, encode_values};
 use shallotfork_types::{Bytes, Revision};
@@ -37,7 +37,7 @@
     let PullCounts { pulls, bytes, deferred } = &state.served_pulls;
     let (pulls, bytes, deferred) = (pulls.take(), bytes.take(), deferred.take());
     if bytes >= LOG_MIN_SIZE.value() || deferred > 0 {
-        event!(state.context.log, ITEMS_TOLD, "readings" => pulls, "bytes" => bytes,
+        event!(state.context.log, ITEMS_SERVED, "readings" => pulls, "bytes" => bytes,
             "put_off" => deferred);
     }
 }
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anyhow::Result;
-use shallotfork_events::{RELOADED, SETTINGS_BAD, event};
+use shallotfork_events::{RELOADED, SETTINGS_INVALID, event};
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::context::Context;
@@ -60,7 +60,7 @@
                 }
                 Err(error) => {
                     if is_signalled || is_readable {
-                        event!(context.log, SETTINGS_BAD, "reason" => format!("{error:#}"));
+                        event!(context.log, SETTINGS_INVALID, "reason" => format!("{error:#}"));
                     }
                     is_readable = false;
                 }
--- a/crates/gateway/src/traffic/caller_requests.rs
+++ b/crates/gateway/src/traffic/caller_requests.rs
@@ -7,7 +7,7 @@
 use http::{HeaderMap, Method};
 use metrics::{counter, histogram};
 use shallotfork_events::{
-    CALLER_LEFT, CALLER_REFUSED, REQUEST_ANSWERED, REQUEST_NOT_ANSWERED, event,
+    CALLER_DISCONNECTED, REQUEST_ANSWERED, REQUEST_NOT_ANSWERED, REQUEST_REJECTED, event,
 };
 use shallotfork_exchange::{ArrivedAt, BodyLimits, CallerPresence, WholeRequest, read_whole};
 use shallotfork_routes::RepeatPolicy;
@@ -44,7 +44,7 @@
     let request = match read_whole(request, &limits, &context.body_budget).await {
         Ok(request) => request,
         Err(error) => {
-            event!(context.log, CALLER_REFUSED, "reason" => error.to_string());
+            event!(context.log, REQUEST_REJECTED, "reason" => error.to_string());
             return error.problem().into_response();
         }
     };
@@ -54,7 +54,7 @@
     let matched = match find_route(&context, &request) {
         Ok(matched) => matched,
         Err(reason) => {
-            event!(context.log, CALLER_REFUSED, "request" => request_id,
+            event!(context.log, REQUEST_REJECTED, "request" => request_id,
                 "reason" => format!("{reason:?}"));
             return reason.response();
         }
@@ -157,11 +157,11 @@
         }
         RequestOutcome::Answered(_) => ("answered", REQUEST_ANSWERED),
         RequestOutcome::Rejected(shed) | RequestOutcome::NotRun(shed) => {
-            (shed.reason.as_str(), CALLER_REFUSED)
+            (shed.reason.as_str(), REQUEST_REJECTED)
         }
         RequestOutcome::MayHaveRun { timed_out: true } => ("timeout", REQUEST_NOT_ANSWERED),
         RequestOutcome::MayHaveRun { timed_out: false } => ("lost", REQUEST_NOT_ANSWERED),
-        RequestOutcome::CallerLeft => ("caller-left", CALLER_LEFT),
+        RequestOutcome::CallerLeft => ("caller-left", CALLER_DISCONNECTED),
     };
     counter!("shallotfork_requests", "outcome" => outcome).increment(1);
     let context = &routed.context;
--- a/crates/gateway/src/traffic/service_load.rs
+++ b/crates/gateway/src/traffic/service_load.rs
@@ -6,7 +6,7 @@
 
 use metrics::gauge;
 use shallotfork_balance::SlotSummary;
-use shallotfork_events::{BEHIND, EVACUATION_RUNNING, SERVICE_LOAD, TARGET_CONNECTIONS, event};
+use shallotfork_events::{EVACUATION_RUNNING, OVERLOADED, SERVICE_LOAD, TARGET_CONNECTIONS, event};
 use shallotfork_exchange::Openings;
 use shallotfork_timer::{Schedule, TimerService};
 use shallotfork_types::ServiceName;
@@ -39,7 +39,7 @@
     if !context.is_overloaded() {
         return;
     }
-    event!(context.log, BEHIND,
+    event!(context.log, OVERLOADED,
         "late_ms" => u64::try_from(delay.as_millis()).unwrap_or(u64::MAX),
         "connections" => context.callers.connections(),
         "in_flight" => context.callers.in_flight(),
--- a/crates/platform/src/backoff.rs
+++ b/crates/platform/src/backoff.rs
@@ -9,14 +9,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackoffConfig {
     /// Longest wait after the first failure.
-    pub first: Duration,
+    pub initial_delay: Duration,
     /// Longest wait after any number of failures.
-    pub max: Duration,
+    pub max_delay: Duration,
 }
 
 impl Default for BackoffConfig {
     fn default() -> Self {
-        Self { first: Duration::from_millis(100), max: Duration::from_secs(5) }
+        Self { initial_delay: Duration::from_millis(100), max_delay: Duration::from_secs(5) }
     }
 }
 
@@ -38,15 +38,15 @@
     }
 
     /// The wait after one more failure.
-    pub fn failed(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let doubled = 2_u32.saturating_pow(self.failures);
         self.failures = self.failures.saturating_add(1);
-        let longest = self.config.first.saturating_mul(doubled).min(self.config.max);
+        let longest = self.config.initial_delay.saturating_mul(doubled).min(self.config.max_delay);
         longest.mul_f64(self.random.random_range(0.5..=1.0))
     }
 
     /// Forgets earlier failures.
-    pub fn succeeded(&mut self) {
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 
--- a/crates/platform/src/http_platform.rs
+++ b/crates/platform/src/http_platform.rs
@@ -43,7 +43,7 @@
             .retry(retry::never())
             .no_proxy()
             .build()?;
-        let limit = CallLimit::new(config.calls);
+        let limit = CallLimit::new(config.calls_per_second);
         Ok(Self { client, config, limit, current: AtomicUsize::new(0), calls: AtomicU64::new(0) })
     }
 
@@ -95,7 +95,7 @@
     }
 
     fn fail(&self, replica: Endpoint, kind: PlatformErrorKind) -> PlatformError {
-        self.next_replica();
+        self.switch_replica();
         PlatformError { replica, kind }
     }
 
@@ -147,11 +147,11 @@
         self.config.replicas.len()
     }
 
-    fn next_replica(&self) {
+    fn switch_replica(&self) {
         self.current.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn calls(&self) -> u64 {
+    fn call_count(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
--- a/crates/platform/src/http_platform_config.rs
+++ b/crates/platform/src/http_platform_config.rs
@@ -10,7 +10,7 @@
     /// Replicas, tried in turn; at least one.
     pub replicas: Vec<Endpoint>,
     /// Calls at most in a second; 8 by default.
-    pub calls: PerSecond,
+    pub calls_per_second: PerSecond,
     /// Time for a call beyond what it was asked to wait; 2 s by default.
     pub timeout: Duration,
     /// Largest content of one list; 1 MiB by default, which is what the platform holds.
@@ -24,7 +24,7 @@
     pub fn new(replicas: Vec<Endpoint>) -> Self {
         Self {
             replicas,
-            calls: PerSecond::new(8),
+            calls_per_second: PerSecond::new(8),
             timeout: Duration::from_secs(2),
             list_max: Bytes::from_mib(1),
             answer_max: Bytes::from_mib(16),
@@ -33,8 +33,8 @@
 
     /// The same with another cap on calls.
     #[must_use]
-    pub fn with_calls(self, calls: PerSecond) -> Self {
-        Self { calls, ..self }
+    pub fn with_calls_per_second(self, calls_per_second: PerSecond) -> Self {
+        Self { calls_per_second, ..self }
     }
 
     /// The same with another timeout.
--- a/crates/platform/src/platform.rs
+++ b/crates/platform/src/platform.rs
@@ -41,10 +41,10 @@
 
     /// Has the next call ask the next replica. One that lags answers as if nothing had changed, so
     /// that only another one can tell.
-    fn next_replica(&self);
+    fn switch_replica(&self);
 
     /// Calls made so far.
-    fn calls(&self) -> u64;
+    fn call_count(&self) -> u64;
 
     /// Lists that changed after a revision; waits up to `wait` for a first change.
     ///
--- a/crates/platform/tests/http_platform.rs
+++ b/crates/platform/tests/http_platform.rs
@@ -18,7 +18,7 @@
 fn config(replicas: &[&FakeReplica]) -> HttpPlatformConfig {
     let endpoints = replicas.iter().map(|replica| replica.endpoint).collect();
     HttpPlatformConfig::new(endpoints)
-        .with_calls(PerSecond::new(1000))
+        .with_calls_per_second(PerSecond::new(1000))
         .with_timeout(Duration::from_secs(5))
 }
 
@@ -126,7 +126,7 @@
 #[tokio::test]
 async fn calls_are_spaced() {
     let replica = FakeReplica::with_body("200 OK", CHANGES).await;
-    let platform = platform(config(&[&replica]).with_calls(PerSecond::new(100)));
+    let platform = platform(config(&[&replica]).with_calls_per_second(PerSecond::new(100)));
     let begun = Instant::now();
     for _ in 0..11 {
         platform.changes(Revision::NONE, Duration::ZERO).await.unwrap();
--- a/crates/shallotd/src/context.rs
+++ b/crates/shallotd/src/context.rs
@@ -31,20 +31,20 @@
     /// Connections to targets.
     pub exchange: Exchange,
     /// New connections to targets.
-    pub gate: TargetGate,
+    pub connection_gate: TargetGate,
     /// Memory for bodies.
-    pub bodies: BodyBudget,
+    pub body_budget: BodyBudget,
     /// Requests in flight.
     pub in_flight: InFlight,
     /// Rotates the entries named in answers.
-    pub turns: AtomicU64,
+    pub entry_rotation: AtomicU64,
     /// Numbers of claims made by this process.
-    pub claims: AtomicU64,
+    pub claim_counter: AtomicU64,
 }
 
 impl Context {
     /// The next number of a counter.
-    pub fn next(counter: &AtomicU64) -> u64 {
+    pub fn next_value(counter: &AtomicU64) -> u64 {
         counter.fetch_add(1, Ordering::Relaxed)
     }
 
--- a/crates/shallotd/src/control/lists.rs
+++ b/crates/shallotd/src/control/lists.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use shallotfork_events::{
-    Event, LIST_ACCEPTED, LIST_CONFLICT, LIST_INVALID, LIST_LOWER, event, slog::Logger,
+    Event, LIST_ACCEPTED, LIST_CONFLICT, LIST_INVALID, LIST_OUTDATED, event, slog::Logger,
 };
 use shallotfork_platform::{PublishedList, TargetInfo, VmInfo, parse_targets, parse_vms};
 use shallotfork_revisions::{
@@ -225,7 +225,7 @@
     let event: Event = match offer {
         OfferOutcome::Known => return,
         OfferOutcome::Accepted { .. } => LIST_ACCEPTED,
-        OfferOutcome::Lower { .. } => LIST_LOWER,
+        OfferOutcome::Lower { .. } => LIST_OUTDATED,
         OfferOutcome::Invalid { .. } => LIST_INVALID,
         OfferOutcome::Conflict { .. } => LIST_CONFLICT,
     };
--- a/crates/shallotd/src/control/lists_start.rs
+++ b/crates/shallotd/src/control/lists_start.rs
@@ -25,8 +25,10 @@
 const PEERS_MAX: usize = 16;
 
 /// Waits between two rounds while nobody has a rule list; calls to the platform are capped besides.
-const ROUND_BACKOFF: BackoffConfig =
-    BackoffConfig { first: Duration::from_millis(50), max: Duration::from_millis(500) };
+const ROUND_BACKOFF: BackoffConfig = BackoffConfig {
+    initial_delay: Duration::from_millis(50),
+    max_delay: Duration::from_millis(500),
+};
 
 /// Asks every replica of the platform and the peers, in rounds, until a rule list is in force.
 ///
@@ -43,7 +45,7 @@
         if state.lists.borrow().rules.is_some() {
             break;
         }
-        tokio::time::sleep(backoff.failed()).await;
+        tokio::time::sleep(backoff.next_delay()).await;
     }
     state.lists.borrow_mut().complete_start();
     publish(state);
@@ -52,7 +54,7 @@
 async fn ask_platform(state: &Rc<State>) {
     for _ in 0..state.platform.replica_count() {
         if read_platform(state, Duration::ZERO).await.is_ok() {
-            state.platform.next_replica();
+            state.platform.switch_replica();
         }
     }
 }
--- a/crates/shallotd/src/control/probes.rs
+++ b/crates/shallotd/src/control/probes.rs
@@ -60,7 +60,7 @@
         let present: Vec<MeasuredTarget> = changes.present.iter().map(measured).collect();
         plan.change_targets(&gone, &present, state.context.clock.now());
     }
-    for service in snapshot.services.values().filter(|service| service.pool.take_touched()) {
+    for service in snapshot.services.values().filter(|service| service.pool.take_attempt_ended()) {
         learn(&mut plan, service);
     }
     let due = plan.due(state.context.clock.now());
@@ -99,7 +99,7 @@
     let result = context.exchange.send(attempt).await;
     finish(&state, permit, &result);
     if let Some(report) = result.as_ref().ok().and_then(load_report) {
-        service.pool.report(&id, report);
+        service.pool.record_load(&id, report);
     }
 }
 
--- a/crates/shallotd/src/control/publish.rs
+++ b/crates/shallotd/src/control/publish.rs
@@ -41,7 +41,9 @@
     let changes = target_changes(&old, &new);
     let gate_targets =
         |targets: &[&TargetInfo]| targets.iter().map(gate_target).collect::<Vec<_>>();
-    context.gate.change_targets(&gate_targets(&changes.gone), &gate_targets(&changes.present));
+    context
+        .connection_gate
+        .change_targets(&gate_targets(&changes.gone), &gate_targets(&changes.present));
     context.snapshot.store(Arc::new(new));
     state.ready.send_if_modified(|was| std::mem::replace(was, ready) != ready);
 }
@@ -72,15 +74,15 @@
         let size = GroupSize::new(context.settings.balance.entries_per_service);
         let group = service_group(name, self.entries, size);
         let ids: Vec<TargetId> = published.iter().map(|target| target.id.clone()).collect();
-        let homes: BTreeSet<TargetId> =
+        let home_targets: BTreeSet<TargetId> =
             group.home_targets(&context.identity.vm, &ids).into_iter().collect();
         let pool = pool(self.state, name);
-        if same_targets.is_none_or(|old| old.homes != homes) {
-            pool.set_targets(&pool_targets(context, published, &homes));
+        if same_targets.is_none_or(|old| old.home_targets != home_targets) {
+            pool.set_targets(&pool_targets(context, published, &home_targets));
         }
         let members = self.entries.iter().filter(|entry| group.contains(&entry.vm));
-        let group = Arc::new(members.cloned().collect());
-        Arc::new(Service { pool, targets, homes, group, rules })
+        let serving_entries = Arc::new(members.cloned().collect());
+        Arc::new(Service { pool, targets, home_targets, serving_entries, rules })
     }
 
     fn with_rules(&self, old: &Arc<Service>, rules: Option<Arc<ServiceRules>>) -> Arc<Service> {
@@ -95,8 +97,8 @@
         Arc::new(Service {
             pool: Arc::clone(&old.pool),
             targets: Arc::clone(&old.targets),
-            homes: old.homes.clone(),
-            group: Arc::clone(&old.group),
+            home_targets: old.home_targets.clone(),
+            serving_entries: Arc::clone(&old.serving_entries),
             rules,
         })
     }
@@ -129,7 +131,7 @@
     index: &Arc<ServiceIndex>,
     part: Option<&Arc<ServiceRuleList>>,
 ) -> bool {
-    let same_part = match (&rules.part, part) {
+    let same_part = match (&rules.service_list, part) {
         (Some(old), Some(new)) => Arc::ptr_eq(old, new),
         (None, None) => true,
         _ => false,
@@ -170,7 +172,7 @@
 fn pool_targets(
     context: &Context,
     targets: &[TargetInfo],
-    homes: &BTreeSet<TargetId>,
+    home_targets: &BTreeSet<TargetId>,
 ) -> Vec<PoolTarget> {
     let pool_target = |target: &TargetInfo| {
         let state = match target.state {
@@ -178,9 +180,9 @@
             TargetState::Draining => PoolState::Draining,
         };
         PoolTarget::new(target.id.clone(), target.failure_domain.clone(), target.slots)
-            .with_connections_share(context.gate.open_max(target.connections_max))
+            .with_connections_share(context.connection_gate.open_max(target.connections_max))
             .with_state(state)
-            .with_home(homes.contains(&target.id))
+            .with_home(home_targets.contains(&target.id))
     };
     targets.iter().map(pool_target).collect()
 }
--- a/crates/shallotd/src/control/report.rs
+++ b/crates/shallotd/src/control/report.rs
@@ -38,7 +38,7 @@
 fn budgets(state: &State) -> BudgetStatus {
     let mut total = BudgetStatus {
         probes: state.probes_sent.get(),
-        platform_calls: state.platform.calls(),
+        platform_calls: state.platform.call_count(),
         ..BudgetStatus::default()
     };
     for service in state.context.snapshot().services.values() {
--- a/crates/shallotd/src/control/thread.rs
+++ b/crates/shallotd/src/control/thread.rs
@@ -165,7 +165,7 @@
 fn platform_config(context: &Context) -> HttpPlatformConfig {
     let platform = &context.settings.platform;
     HttpPlatformConfig::new(platform.address.clone())
-        .with_calls(platform.calls_per_s)
+        .with_calls_per_second(platform.calls_per_s)
         .with_timeout(platform.timeout)
 }
 
--- a/crates/shallotd/src/control/watch.rs
+++ b/crates/shallotd/src/control/watch.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use metrics::gauge;
-use shallotfork_events::{PLATFORM_BACK, PLATFORM_BEHIND, PLATFORM_LOST, event};
+use shallotfork_events::{PLATFORM_BEHIND, PLATFORM_DISCONNECTED, PLATFORM_RECONNECTED, event};
 use shallotfork_platform::{Backoff, BackoffConfig, Changes, PlatformError};
 use shallotfork_revisions::ReplicaStatus;
 use shallotfork_types::{Endpoint, Mono, Revision};
@@ -37,19 +37,19 @@
         match read {
             Ok(read) => {
                 if backoff.failures() > 0 {
-                    event!(state.context.log, PLATFORM_BACK);
+                    event!(state.context.log, PLATFORM_RECONNECTED);
                 }
-                backoff.succeeded();
+                backoff.reset();
                 // A replica that lags shows no change, so the next one is watched for a while.
                 if !read.changed {
-                    state.platform.next_replica();
+                    state.platform.switch_replica();
                 }
             }
             Err(error) => {
                 if backoff.failures() == 0 {
-                    event!(state.context.log, PLATFORM_LOST, "reason" => error.to_string());
+                    event!(state.context.log, PLATFORM_DISCONNECTED, "reason" => error.to_string());
                 }
-                tokio::time::sleep(backoff.failed()).await;
+                tokio::time::sleep(backoff.next_delay()).await;
             }
         }
     }
--- a/crates/shallotd/src/operator/metrics_page.rs
+++ b/crates/shallotd/src/operator/metrics_page.rs
@@ -56,7 +56,7 @@
     gauge!(PLATFORM_CALLS.name).set(status.budgets.platform_calls as f64);
     gauge!(SYNCED_REVISION.name).set(status.synced_revision.value() as f64);
     gauge!(IN_FLIGHT.name).set(context.in_flight.requests() as f64);
-    gauge!(BODIES_BYTES.name).set(context.bodies.held().value() as f64);
+    gauge!(BODIES_BYTES.name).set(context.body_budget.held().value() as f64);
     gauge!(SESSIONS_ISSUED.name).set(status.sessions.issued as f64);
     gauge!(SESSION_OPERATIONS.name).set(status.sessions.operations as f64);
     for list in &status.lists {
--- a/crates/shallotd/src/run.rs
+++ b/crates/shallotd/src/run.rs
@@ -84,14 +84,19 @@
     let process = Process::new(log.clone());
     let (control, commands) = ControlHandle::new();
     let clock = Clock::new();
-    let bodies = BodyBudget::new(settings.callers.bodies_total_max);
+    let body_budget = BodyBudget::new(settings.callers.bodies_total_max);
     let exchange_config =
         ExchangeConfig { answer_max: settings.callers.body_max, ..ExchangeConfig::default() };
-    let gate = TargetGate::new(connection_budget(&settings), clock);
+    let connection_gate = TargetGate::new(connection_budget(&settings), clock);
     let now = Arc::new(move || clock.now());
-    let exchange = Exchange::new(exchange_config, bodies.clone(), Arc::new(gate.clone()), now)?;
+    let exchange = Exchange::new(
+        exchange_config,
+        body_budget.clone(),
+        Arc::new(connection_gate.clone()),
+        now,
+    )?;
     // Callers that ask many entries once each would otherwise all be sent to the same one.
-    let first_turn = identity.incarnation.value();
+    let initial_rotation = identity.incarnation.value();
     let context = Arc::new(Context {
         settings,
         identity,
@@ -100,11 +105,11 @@
         snapshot: ArcSwap::from_pointee(Snapshot::default()),
         control,
         exchange,
-        gate,
-        bodies,
+        connection_gate,
+        body_budget,
         in_flight: InFlight::default(),
-        turns: AtomicU64::new(first_turn),
-        claims: AtomicU64::new(0),
+        entry_rotation: AtomicU64::new(initial_rotation),
+        claim_counter: AtomicU64::new(0),
     });
     let (ready, is_ready) = watch::channel(false);
     let secret = Secret::new(rand::rng().random::<[u8; SECRET_BYTES]>());
--- a/crates/shallotd/src/snapshot.rs
+++ b/crates/shallotd/src/snapshot.rs
@@ -15,7 +15,7 @@
     /// The general list.
     pub index: Arc<ServiceIndex>,
     /// The service's own list.
-    pub part: Option<Arc<ServiceRuleList>>,
+    pub service_list: Option<Arc<ServiceRuleList>>,
     /// Both joined, without rules of other services.
     pub list: RuleList,
     /// Which load conditions hold; new with every list.
@@ -27,11 +27,11 @@
     pub fn new(
         service: &ServiceName,
         index: Arc<ServiceIndex>,
-        part: Option<Arc<ServiceRuleList>>,
+        service_list: Option<Arc<ServiceRuleList>>,
     ) -> Self {
-        let list = index.rules_for(service, part.as_deref());
+        let list = index.rules_for(service, service_list.as_deref());
         let load_hysteresis = Mutex::new(LoadHysteresis::new(&list));
-        Self { index, part, list, load_hysteresis }
+        Self { index, service_list, list, load_hysteresis }
     }
 }
 
@@ -50,9 +50,9 @@
     /// The published targets.
     pub targets: Arc<ServiceTargets>,
     /// Targets that this entry sends most of its work to.
-    pub homes: BTreeSet<TargetId>,
+    pub home_targets: BTreeSet<TargetId>,
     /// Entries that serve the service.
-    pub group: Arc<Vec<EntryVm>>,
+    pub serving_entries: Arc<Vec<EntryVm>>,
     /// Its rules; `None` until a general list is in force.
     pub rules: Option<Arc<ServiceRules>>,
 }
--- a/crates/shallotd/src/traffic/entries.rs
+++ b/crates/shallotd/src/traffic/entries.rs
@@ -71,9 +71,9 @@
     };
     let preference = CallerPreference {
         failure_domain: query.failure_domain,
-        rotation: Context::next(&context.turns),
+        rotation: Context::next_value(&context.entry_rotation),
     };
-    let found = rank_for_caller(&service.group, &preference);
+    let found = rank_for_caller(&service.serving_entries, &preference);
     let session = context.control.issue().await;
     let callers = &context.settings.callers;
     let answer = Answer {
--- a/crates/shallotd/src/traffic/front.rs
+++ b/crates/shallotd/src/traffic/front.rs
@@ -34,7 +34,7 @@
     let limits = body_limits(context);
     let version = request.version();
     let operation = named_operation(request.headers());
-    match read_whole(request, &limits, &context.bodies).await {
+    match read_whole(request, &limits, &context.body_budget).await {
         Ok(whole) => dispatch(context, whole).await,
         Err(refusal) => {
             with_close(refuse(context, operation, refusal.problem()).await.into_response(), version)
--- a/crates/shallotd/src/traffic/operation.rs
+++ b/crates/shallotd/src/traffic/operation.rs
@@ -96,7 +96,7 @@
 
 fn next_claim(context: &Context) -> ClaimId {
     let identity = &context.identity;
-    let number = Context::next(&context.claims);
+    let number = Context::next_value(&context.claim_counter);
     ClaimId::new(identity.vm.clone(), identity.incarnation, number)
 }
 
--- a/crates/shallotd/src/traffic/service_pool.rs
+++ b/crates/shallotd/src/traffic/service_pool.rs
@@ -27,7 +27,7 @@
 /// Wraps the pure pool in a lock and wakes the requests that wait in it.
 pub struct ServicePool {
     clock: Clock,
-    /// Whether an attempt ended since `take_touched`.
+    /// Whether an attempt ended since `take_attempt_ended`.
     touched: AtomicBool,
     inner: Mutex<Inner>,
 }
@@ -137,7 +137,7 @@
     }
 
     /// Takes a target's account of its load that came with a probe's answer.
-    pub fn report(&self, target: &TargetId, report: LoadReport) {
+    pub fn record_load(&self, target: &TargetId, report: LoadReport) {
         let now = self.clock.now();
         self.lock().pool.report(target, report, now);
     }
@@ -154,7 +154,7 @@
     }
 
     /// Whether an attempt ended since the last call, so that there is news of a target.
-    pub fn take_touched(&self) -> bool {
+    pub fn take_attempt_ended(&self) -> bool {
         self.touched.swap(false, Ordering::Relaxed)
     }
 
