--- a/crates/events/src/catalogue.rs
+++ b/crates/events/src/catalogue.rs
@@ -30,7 +30,7 @@
     LIST_CONFLICT = 2004 Error "two contents under one revision";
     ROUTES_ACCEPTED = 2005 Info "routes in force";
     ROUTES_REFUSED = 2006 Error "routes refused: they are not valid";
-    PULL_REJECTED = 2007 Warning "published items of another entry not taken";
+    PULL_FAILED = 2007 Warning "published items of another entry not taken";
     EVACUATION_STARTED = 2008 Info "failure domain evacuated: its targets get nothing more";
     EVACUATION_ENDED = 2009 Info "failure domain taken back: its targets are used again";
     EVACUATION_INVALID = 2010 Error "request to evacuate a failure domain ignored: it is not valid";
--- a/crates/gateway/src/control/pull.rs
+++ b/crates/gateway/src/control/pull.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use shallotfork_events::{ITEMS_PULLED, PULL_REJECTED, event};
+use shallotfork_events::{ITEMS_PULLED, PULL_FAILED, event};
 use shallotfork_peer::{Changes, PeerClient, PeerError};
 use shallotfork_types::{FailureDomain, Mono, Revision};
 
@@ -110,7 +110,7 @@
     started_at: Mono,
     reason: &str,
 ) {
-    event!(state.context.log, PULL_REJECTED, "peer" => source.client.peer().vm.as_str(),
+    event!(state.context.log, PULL_FAILED, "peer" => source.client.peer().vm.as_str(),
         "reason" => reason, "after" => after.value(),
         "took_ms" => millis(state.now().since(started_at)));
 }
