--- a/crates/events/src/lib.rs
+++ b/crates/events/src/lib.rs
@@ -1,7 +1,7 @@
 //! Numbered log events and the logger that writes them as JSON lines.
 //!
-//! Every event has a number, a level and a fixed text; `docs/EVENTS.md` lists them all and a test
-//! keeps code and catalogue in step.
+//! Every event has a number, a level and a fixed text. `docs/EVENTS.md` lists all events; a test
+//! compares it with the code.
 
 mod catalogue;
 mod logger;
@@ -15,13 +15,13 @@
 pub enum Level {
     /// Normal operation that an operator may want to follow.
     Info,
-    /// Something degraded; service goes on.
+    /// Something is degraded; requests are still served.
     Warning,
-    /// Something failed that an operator has to look at.
+    /// Something failed and needs an operator.
     Error,
 }
 
-/// One numbered kind of log line.
+/// Numbered kind of log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Event {
     /// Number in the catalogue; never reused.
--- a/crates/events/tests/catalogue.rs
+++ b/crates/events/tests/catalogue.rs
@@ -1,30 +1,30 @@
-//! Code and `docs/EVENTS.md` list the same events.
+//! Compares the event catalogue with `docs/EVENTS.md`.
 
 use shallotfork_events::{ALL, Event};
 
-fn row(event: &Event) -> String {
+fn format_row(event: &Event) -> String {
     format!("| {} | {:?} | {} |", event.code, event.level, event.text)
 }
 
 #[test]
 fn docs_list_every_event_once() {
-    let expected: Vec<String> = ALL.iter().map(row).collect();
+    let expected: Vec<String> = ALL.iter().map(format_row).collect();
     let page = include_str!("../../../docs/EVENTS.md");
     let actual: Vec<String> = page
         .lines()
         .filter(|line| line.starts_with("| ") && line.as_bytes()[2].is_ascii_digit())
-        .map(cut_meaning)
+        .map(strip_explanation)
         .collect();
     assert_eq!(expected, actual);
 }
 
-/// Drops the last column, which explains the event to operators.
-fn cut_meaning(line: &str) -> String {
+/// Removes the last column, which explains the event to operators.
+fn strip_explanation(line: &str) -> String {
     let columns: Vec<&str> = line.split(" | ").take(3).collect();
     format!("{} |", columns.join(" | "))
 }
 
 #[test]
-fn numbers_rise() {
+fn numbers_are_ascending() {
     assert!(ALL.windows(2).all(|pair| pair[0].code < pair[1].code));
 }
--- a/crates/platform/src/backoff.rs
+++ b/crates/platform/src/backoff.rs
@@ -1,16 +1,16 @@
-//! How long to wait after failures.
+//! Delays before retries after failures.
 
 use std::time::Duration;
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Bounds of the wait after a failure.
+/// Bounds of the delay after a failure.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackoffConfig {
-    /// Longest wait after the first failure.
+    /// Maximum delay after the first failure.
     pub initial_delay: Duration,
-    /// Longest wait after any number of failures.
+    /// Maximum delay after any number of failures.
     pub max_delay: Duration,
 }
 
@@ -20,10 +20,11 @@
     }
 }
 
-/// Doubles the wait with each failure and draws it at random from the upper half.
+/// Exponential backoff: the maximum delay doubles with each failure, and each delay is drawn at
+/// random from the upper half of its range.
 ///
-/// Entries that lose the platform at the same moment would otherwise all call again at the same
-/// moment, and the first one to come back would be met by all of them at once.
+/// Entries that lose the platform at the same moment would otherwise all retry together, and the
+/// first replica to recover would receive all their calls at once.
 #[derive(Debug)]
 pub struct Backoff {
     config: BackoffConfig,
@@ -32,25 +33,26 @@
 }
 
 impl Backoff {
-    /// A backoff without failures; `seed` must differ between processes.
+    /// Creates a backoff without failures; `seed` must differ between processes.
     pub fn new(config: BackoffConfig, seed: u64) -> Self {
         Self { config, failures: 0, random: StdRng::seed_from_u64(seed) }
     }
 
-    /// The wait after one more failure.
+    /// Records a failure and returns the delay before the next try.
     pub fn next_delay(&mut self) -> Duration {
-        let doubled = 2_u32.saturating_pow(self.failures);
+        let factor = 2_u32.saturating_pow(self.failures);
         self.failures = self.failures.saturating_add(1);
-        let longest = self.config.initial_delay.saturating_mul(doubled).min(self.config.max_delay);
-        longest.mul_f64(self.random.random_range(0.5..=1.0))
+        let upper_bound =
+            self.config.initial_delay.saturating_mul(factor).min(self.config.max_delay);
+        upper_bound.mul_f64(self.random.random_range(0.5..=1.0))
     }
 
-    /// Forgets earlier failures.
+    /// Forgets earlier failures, after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Failures since the last success.
+    /// Returns the number of failures since the last success.
     pub fn failures(&self) -> u32 {
         self.failures
     }
--- a/crates/platform/src/http_platform_config.rs
+++ b/crates/platform/src/http_platform_config.rs
@@ -1,26 +1,26 @@
-//! Limits of calls to the platform.
+//! Replicas of the platform and limits of calls to them.
 
 use std::time::Duration;
 
 use shallotfork_types::{Bytes, Endpoint, PerSecond};
 
-/// How the platform is called.
+/// Configuration of `HttpPlatform`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpPlatformConfig {
-    /// Replicas, tried in turn; at least one.
+    /// Replicas, tried in turn; at least one is required.
     pub replicas: Vec<Endpoint>,
-    /// Calls at most in a second; 8 by default.
+    /// Maximum number of calls per second; 8 by default.
     pub calls_per_second: PerSecond,
-    /// Time for a call beyond what it was asked to wait; 2 s by default.
+    /// Timeout of a call beyond the time that the platform may wait for a change; 2 s by default.
     pub timeout: Duration,
-    /// Largest content of one list; 1 MiB by default, which is what the platform holds.
+    /// Maximum size of the content of one list; 1 MiB by default, the limit of the platform.
     pub list_max: Bytes,
-    /// Largest answer; 16 MiB by default.
+    /// Maximum size of an answer; 16 MiB by default.
     pub answer_max: Bytes,
 }
 
 impl HttpPlatformConfig {
-    /// The default limits for these replicas.
+    /// Creates a configuration for these replicas with the default limits.
     pub fn new(replicas: Vec<Endpoint>) -> Self {
         Self {
             replicas,
@@ -31,25 +31,25 @@
         }
     }
 
-    /// The same with another cap on calls.
+    /// Sets the maximum number of calls per second.
     #[must_use]
     pub fn with_calls_per_second(self, calls_per_second: PerSecond) -> Self {
         Self { calls_per_second, ..self }
     }
 
-    /// The same with another timeout.
+    /// Sets the timeout of a call.
     #[must_use]
     pub fn with_timeout(self, timeout: Duration) -> Self {
         Self { timeout, ..self }
     }
 
-    /// The same with another limit on one list.
+    /// Sets the maximum size of one list.
     #[must_use]
     pub fn with_list_max(self, list_max: Bytes) -> Self {
         Self { list_max, ..self }
     }
 
-    /// The same with another limit on one answer.
+    /// Sets the maximum size of one answer.
     #[must_use]
     pub fn with_answer_max(self, answer_max: Bytes) -> Self {
         Self { answer_max, ..self }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,7 @@
-//! Reads the platform: the configuration service that publishes lists.
+//! Client of the platform, the configuration service that publishes lists.
 //!
-//! The platform is only ever read. `Platform` is the narrow interface that tests replace by small
-//! fakes; `HttpPlatform` is the one that production uses.
+//! The platform is read-only. `Platform` is the interface, which tests replace by fakes;
+//! `HttpPlatform` is the implementation for production.
 
 mod backoff;
 mod call_limit;
--- a/crates/platform/src/list_error.rs
+++ b/crates/platform/src/list_error.rs
@@ -1,9 +1,9 @@
-//! Errors in the content of a list.
+//! Error for invalid content of a list.
 
 use std::error::Error;
 use std::fmt;
 
-/// When a list is refused as a whole because of one of its entries.
+/// Reason why a list was rejected as a whole; one invalid item is enough.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListError {
     reason: String,
--- a/crates/platform/src/platform.rs
+++ b/crates/platform/src/platform.rs
@@ -1,4 +1,4 @@
-//! The interface to the platform.
+//! Interface of the platform.
 
 use std::fmt::Debug;
 use std::time::Duration;
@@ -8,54 +8,54 @@
 
 use crate::PlatformError;
 
-/// One published list with its content.
+/// Published list with its content.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PublishedList {
-    /// The list.
+    /// Name of the list.
     pub name: ListName,
     /// Revision of its last change.
     pub revision: Revision,
-    /// INI for rules, JSON for the others.
+    /// INI text for rules, JSON text for the other lists.
     pub content: String,
 }
 
-/// What changed after a revision.
+/// Lists that changed after a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Changes {
-    /// The replica that answered.
+    /// Replica that answered.
     pub replica: Endpoint,
-    /// Revision that the replica is at.
+    /// Current revision of the replica.
     pub revision: Revision,
-    /// Lists that changed; lists of a kind that this version does not know are left out.
+    /// Changed lists, without lists of kinds unknown to this version.
     pub lists: Vec<PublishedList>,
 }
 
 /// Reads and watches published lists.
 #[async_trait]
 pub trait Platform: Debug + Send + Sync {
-    /// The replica that the next call asks.
+    /// Returns the replica that the next call goes to.
     fn replica(&self) -> Endpoint;
 
-    /// Number of replicas.
+    /// Returns the number of replicas.
     fn replica_count(&self) -> usize;
 
-    /// Has the next call ask the next replica. One that lags answers as if nothing had changed, so
-    /// that only another one can tell.
+    /// Switches to the next replica. A replica that lags answers as if nothing had changed; only
+    /// another replica shows the difference.
     fn switch_replica(&self);
 
-    /// Calls made so far.
+    /// Returns the number of calls made so far.
     fn call_count(&self) -> u64;
 
-    /// Lists that changed after a revision; waits up to `wait` for a first change.
+    /// Returns the lists that changed after a revision; waits up to `wait` for a first change.
     ///
     /// # Errors
-    /// When the replica asked does not answer in time or answers nonsense. The next call asks the
-    /// next replica.
+    /// Returns an error if the replica does not answer in time or its answer is invalid. The next
+    /// call goes to the next replica.
     async fn changes(&self, after: Revision, wait: Duration) -> Result<Changes, PlatformError>;
 
-    /// One list; `None` when it is not published.
+    /// Returns one list; `None` if it is not published.
     ///
     /// # Errors
-    /// As for `changes`.
+    /// Fails in the same cases as `changes`.
     async fn read(&self, name: &ListName) -> Result<Option<PublishedList>, PlatformError>;
 }
--- a/crates/platform/src/platform_error.rs
+++ b/crates/platform/src/platform_error.rs
@@ -1,31 +1,31 @@
-//! Errors of calls to the platform.
+//! Error for calls to the platform.
 
 use std::error::Error;
 use std::fmt;
 
 use shallotfork_types::{Bytes, Endpoint};
 
-/// When a call to a replica of the platform failed.
+/// Failure of a call to a replica of the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlatformError {
-    /// The replica that was asked.
+    /// Replica that was called.
     pub replica: Endpoint,
-    /// What went wrong.
+    /// Kind of the failure.
     pub kind: PlatformErrorKind,
 }
 
-/// What went wrong in a call to the platform.
+/// Kinds of failures of a call to the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlatformErrorKind {
-    /// No connection, or it broke.
+    /// The connection could not be established, or it broke.
     Unreachable(String),
-    /// No whole answer in time.
+    /// No complete answer arrived before the timeout.
     Timeout,
-    /// An HTTP status that is not an answer.
+    /// Unexpected HTTP status.
     Status(u16),
-    /// The answer or a list in it is over this limit.
+    /// The answer or a list in it is larger than this limit.
     TooLarge(Bytes),
-    /// The answer is not what the interface says.
+    /// The answer does not follow the protocol.
     Malformed(String),
 }
 
@@ -39,9 +39,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreachable(reason) => write!(f, "unreachable: {reason}"),
-            Self::Timeout => f.write_str("no whole answer in time"),
-            Self::Status(status) => write!(f, "status {status}"),
-            Self::TooLarge(limit) => write!(f, "answer over {limit}"),
+            Self::Timeout => f.write_str("no complete answer before the timeout"),
+            Self::Status(status) => write!(f, "unexpected status {status}"),
+            Self::TooLarge(limit) => write!(f, "answer larger than {limit}"),
             Self::Malformed(reason) => write!(f, "malformed answer: {reason}"),
         }
     }
--- a/crates/platform/src/target_list.rs
+++ b/crates/platform/src/target_list.rs
@@ -1,4 +1,4 @@
-//! `targets.SERVICE`: the targets of one service.
+//! The published list `targets.SERVICE`: targets of one service.
 
 use std::collections::HashSet;
 
@@ -7,36 +7,37 @@
 
 use crate::ListError;
 
-/// Whether a target takes new work.
+/// Published state of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TargetState {
-    /// It takes new work.
+    /// The target accepts new requests.
     Serving,
-    /// It finishes what it has and takes no new work.
+    /// The target finishes its requests and accepts no new ones.
     Draining,
 }
 
-/// One target as published.
+/// Target as published.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetInfo {
-    /// Name, unique over all services.
+    /// Name of the target, unique over all services.
     pub id: TargetId,
-    /// The service that it answers for.
+    /// Service that the target belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address that the target listens on.
     pub endpoint: Endpoint,
-    /// Its failure domain.
+    /// Failure domain of the target.
     pub failure_domain: FailureDomain,
-    /// Whether it takes new work.
+    /// Whether the target accepts new requests.
     pub state: TargetState,
-    /// Requests that it works on at once.
+    /// Number of requests that the target runs at once.
     pub slots: u32,
-    /// Connections that it holds at once, from all entries.
+    /// Maximum number of open connections to the target, from all entries together.
     pub connections_max: u32,
-    /// Status with which it refuses work that it has not started, if it promises that.
+    /// Status that the target answers only to requests that it has not started; `None` without
+    /// such a guarantee.
     pub shed_status: Option<u16>,
-    /// Whether it speaks HTTP/2 without TLS.
+    /// Whether the target accepts HTTP/2 without TLS.
     pub http2: bool,
 }
 
@@ -58,18 +59,18 @@
     http2: bool,
 }
 
-/// Checks the content of `targets.SERVICE`.
+/// Parses and validates the content of `targets.SERVICE`.
 ///
-/// Fields that this version does not know are ignored, so that publishers can add some.
+/// Unknown fields are ignored, so that publishers can add fields.
 ///
 /// # Errors
-/// When it is not the expected JSON, or an entry is unusable or stands twice.
+/// Returns an error if the content is not the expected JSON, or a target is invalid or listed twice.
 pub fn parse_targets(service: &ServiceName, content: &str) -> Result<Vec<TargetInfo>, ListError> {
     let list: ListJson = serde_json::from_str(content).map_err(ListError::new)?;
     let mut ids = HashSet::new();
     let mut endpoints = HashSet::new();
     for target in &list.targets {
-        target.check()?;
+        target.validate()?;
         if !ids.insert(&target.id) {
             return Err(target.error("listed twice"));
         }
@@ -81,7 +82,7 @@
 }
 
 impl TargetJson {
-    fn check(&self) -> Result<(), ListError> {
+    fn validate(&self) -> Result<(), ListError> {
         if self.slots == 0 {
             return Err(self.error("slots must be at least 1"));
         }
@@ -91,8 +92,8 @@
         if self.address.address().port() == 0 {
             return Err(self.error("address needs a port"));
         }
-        let refusal = |status: u16| (400..600).contains(&status);
-        if !self.shed_status.is_none_or(refusal) {
+        let is_error_status = |status: u16| (400..600).contains(&status);
+        if !self.shed_status.is_none_or(is_error_status) {
             return Err(self.error("shed_status must be 400 to 599"));
         }
         Ok(())
--- a/crates/platform/src/vm_list.rs
+++ b/crates/platform/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! `vms`: the entry VMs.
+//! The published list `vms`: entry VMs.
 
 use std::collections::HashSet;
 
@@ -7,28 +7,28 @@
 
 use crate::ListError;
 
-/// Whether a VM is about to go. The list lags behind the truth.
+/// Published state of a VM. The list may lag behind the actual state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
-    /// It is running, or was a while ago.
+    /// The VM is running, or was when the list was published.
     Live,
-    /// It is being stopped.
+    /// The VM is being stopped.
     Leaving,
 }
 
-/// One entry VM as published.
+/// Entry VM as published.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct VmInfo {
     /// Name of the VM.
     pub id: VmId,
-    /// Its failure domain.
+    /// Failure domain of the VM.
     pub failure_domain: FailureDomain,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub callers: Endpoint,
-    /// Where peers connect.
+    /// Address that peers connect to.
     pub peers: Endpoint,
-    /// Whether it is about to go.
+    /// Whether the VM is running or being stopped.
     pub state: VmState,
 }
 
@@ -37,12 +37,12 @@
     vms: Vec<VmInfo>,
 }
 
-/// Checks the content of `vms`.
+/// Parses and validates the content of `vms`.
 ///
-/// Fields that this version does not know are ignored, so that publishers can add some.
+/// Unknown fields are ignored, so that publishers can add fields.
 ///
 /// # Errors
-/// When it is not the expected JSON, or a VM stands twice.
+/// Returns an error if the content is not the expected JSON, or a VM is listed twice.
 pub fn parse_vms(content: &str) -> Result<Vec<VmInfo>, ListError> {
     let list: ListJson = serde_json::from_str(content).map_err(ListError::new)?;
     let mut ids = HashSet::new();
--- a/crates/platform/src/wire.rs
+++ b/crates/platform/src/wire.rs
@@ -1,11 +1,11 @@
-//! JSON of the platform's interface.
+//! JSON messages of the platform.
 
 use serde::Deserialize;
 use shallotfork_types::{Endpoint, Revision};
 
 use crate::{Changes, PublishedList};
 
-/// Answer to `GET /v1/changes`.
+/// Body of the answer to `GET /v1/changes`.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ChangesJson {
     revision: Revision,
@@ -20,14 +20,17 @@
 }
 
 impl ChangesJson {
-    /// Checks the revisions and drops values of a kind that this version does not know.
+    /// Checks the revisions and drops values of kinds unknown to this version.
     pub(crate) fn into_changes(self, replica: Endpoint) -> Result<Changes, String> {
         let Self { revision, values } = self;
         let mut lists = Vec::new();
         for value in values {
-            let known = Revision::NONE < value.revision && value.revision <= revision;
-            if !known {
-                return Err(format!("revision {} under {revision}", value.revision));
+            let is_in_range = Revision::NONE < value.revision && value.revision <= revision;
+            if !is_in_range {
+                return Err(format!(
+                    "value revision {} is out of range for platform revision {revision}",
+                    value.revision
+                ));
             }
             let Ok(name) = value.name.parse() else { continue };
             lists.push(PublishedList { name, revision: value.revision, content: value.content });
--- a/crates/platform/tests/http_platform.rs
+++ b/crates/platform/tests/http_platform.rs
@@ -1,4 +1,4 @@
-//! Calls to replicas that answer well, badly or not at all.
+//! Calls to replicas with valid answers, invalid answers or none.
 
 mod support;
 
@@ -26,8 +26,8 @@
     HttpPlatform::new(config).expect("client")
 }
 
-/// The error of one call for changes.
-async fn failure(config: HttpPlatformConfig) -> PlatformErrorKind {
+/// Returns the error of a call for changes.
+async fn changes_error(config: HttpPlatformConfig) -> PlatformErrorKind {
     let changes = platform(config).changes(Revision::NONE, Duration::ZERO).await;
     changes.expect_err("failure").kind
 }
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn changes_leave_out_lists_of_unknown_kinds() {
+async fn changes_skip_lists_of_unknown_kinds() {
     let replica = FakeReplica::with_body("200 OK", CHANGES).await;
     let changes = platform(config(&[&replica])).changes(Revision::NONE, Duration::ZERO).await;
     let changes = changes.unwrap();
@@ -50,7 +50,7 @@
 }
 
 #[tokio::test]
-async fn one_list_is_read_with_its_revision() {
+async fn read_returns_list_with_revision() {
     let answer = "HTTP/1.1 200 OK\r\nShallotfork-Revision: 7\r\nContent-Length: 2\r\n\r\n{}";
     let replica = FakeReplica::with_answer(answer.to_owned()).await;
     let actual = platform(config(&[&replica])).read(&ListName::Vms).await.unwrap();
@@ -60,11 +60,10 @@
     assert_eq!(None, actual);
 }
 
-/// One replica of the platform is broken in one of several ways. The entry must say how, ask it
-/// once only, and ask the next replica the next time; it would otherwise miss changes for as long
-/// as the one replica is broken.
+/// Guards against missing changes while one replica of the platform is broken: the error must name
+/// the replica, which is called only once, and the next call must go to the next replica.
 #[tokio::test]
-async fn broken_replica_is_asked_once_and_then_the_next_one() {
+async fn failed_call_switches_to_next_replica() {
     let broken = [
         FakeReplica::with_body("500 Oh No", "").await,
         FakeReplica::with_body("200 OK", "{").await,
@@ -77,60 +76,60 @@
         let good = FakeReplica::with_body("200 OK", CHANGES).await;
         let platform = platform(config(&[replica, &good]));
         let error = platform.changes(Revision::NONE, Duration::ZERO).await.unwrap_err();
-        assert_eq!((replica.endpoint, 1), (error.replica, replica.requests()));
+        assert_eq!((replica.endpoint, 1), (error.replica, replica.request_count()));
         let changes = platform.changes(Revision::NONE, Duration::ZERO).await.unwrap();
-        assert_eq!((good.endpoint, 1), (changes.replica, replica.requests()));
+        assert_eq!((good.endpoint, 1), (changes.replica, replica.request_count()));
     }
 }
 
-/// A replica answers with a redirect to another address. The library would follow it, past the
-/// cap on calls and to a machine that the settings do not name.
+/// Guards against following a redirect, which would bypass the limit on calls and contact a host
+/// that the settings do not name.
 #[tokio::test]
 async fn redirects_are_not_followed() {
     let other = FakeReplica::with_body("200 OK", CHANGES).await;
     let location = format!("http://{}/v1/changes", other.endpoint);
     let answer = format!("HTTP/1.1 302 Found\r\nLocation: {location}\r\nContent-Length: 0\r\n\r\n");
     let replica = FakeReplica::with_answer(answer).await;
-    let actual = failure(config(&[&replica])).await;
-    assert_eq!((PlatformErrorKind::Status(302), 0), (actual, other.requests()));
+    let actual = changes_error(config(&[&replica])).await;
+    assert_eq!((PlatformErrorKind::Status(302), 0), (actual, other.request_count()));
 }
 
 #[tokio::test]
 async fn silent_replica_times_out() {
     let replica = FakeReplica::with_answer(String::new()).await;
     let config = config(&[&replica]).with_timeout(Duration::from_millis(50));
-    assert_eq!(PlatformErrorKind::Timeout, failure(config).await);
+    assert_eq!(PlatformErrorKind::Timeout, changes_error(config).await);
 }
 
 #[tokio::test]
-async fn replica_that_is_gone_is_unreachable() {
-    let gone: Endpoint = "127.0.0.1:1".parse().unwrap();
-    let actual = failure(HttpPlatformConfig::new(vec![gone])).await;
+async fn closed_port_is_unreachable() {
+    let closed_port: Endpoint = "127.0.0.1:1".parse().unwrap();
+    let actual = changes_error(HttpPlatformConfig::new(vec![closed_port])).await;
     assert!(matches!(actual, PlatformErrorKind::Unreachable(_)), "{actual}");
 }
 
-/// A replica sends more than an entry can hold. The entry must stop reading at the limit.
+/// Guards against running out of memory when a replica sends more than the limit.
 #[tokio::test]
-async fn answers_over_the_limits_are_refused() {
+async fn answers_over_limits_are_rejected() {
     let replica = FakeReplica::with_body("200 OK", CHANGES).await;
     let limit = Bytes::new(16);
     let answer = config(&[&replica]).with_answer_max(limit);
-    assert_eq!(PlatformErrorKind::TooLarge(limit), failure(answer).await);
+    assert_eq!(PlatformErrorKind::TooLarge(limit), changes_error(answer).await);
     let limit = Bytes::new(5);
     let value = config(&[&replica]).with_list_max(limit);
-    assert_eq!(PlatformErrorKind::TooLarge(limit), failure(value).await);
+    assert_eq!(PlatformErrorKind::TooLarge(limit), changes_error(value).await);
 }
 
-/// The platform is back after an outage and every entry has calls to make. Calls must stay spaced,
-/// or the entries together pass what the platform can answer.
+/// Guards against overloading the platform after an outage, when every entry has calls to make:
+/// calls must stay spaced.
 #[tokio::test]
 async fn calls_are_spaced() {
     let replica = FakeReplica::with_body("200 OK", CHANGES).await;
     let platform = platform(config(&[&replica]).with_calls_per_second(PerSecond::new(100)));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for _ in 0..11 {
         platform.changes(Revision::NONE, Duration::ZERO).await.unwrap();
     }
-    let least = Duration::from_millis(95);
-    assert!(begun.elapsed() >= least, "{:?}", begun.elapsed());
+    let min_duration = Duration::from_millis(95);
+    assert!(started_at.elapsed() >= min_duration, "{:?}", started_at.elapsed());
 }
--- a/crates/platform/tests/lists.rs
+++ b/crates/platform/tests/lists.rs
@@ -1,4 +1,4 @@
-//! Published lists of targets and VMs, good and bad.
+//! Parsing of valid and invalid lists of targets and VMs.
 
 use shallotfork_platform::{parse_targets, parse_vms};
 use shallotfork_types::ServiceName;
@@ -6,7 +6,7 @@
 const TARGET: &str = r#"{"id":"t1","address":"127.0.0.1:9000","failure_domain":"boulder",
     "state":"serving","slots":2,"connections_max":200,"shed_status":503,"http2":false}"#;
 
-fn targets(entries: &[&str]) -> String {
+fn format_targets(entries: &[&str]) -> String {
     let service = ServiceName::new("recipes").expect("service name");
     let content = format!(r#"{{"targets":[{}]}}"#, entries.join(","));
     match parse_targets(&service, &content) {
@@ -16,18 +16,18 @@
 }
 
 #[test]
-fn good_target_list() {
+fn valid_target_list() {
     let draining = TARGET
         .replace("t1", "t2")
         .replace("9000", "9001")
         .replace("serving", "draining")
         .replace("503", "null");
-    insta::assert_snapshot!(targets(&[TARGET, &draining]));
+    insta::assert_snapshot!(format_targets(&[TARGET, &draining]));
 }
 
 #[test]
-fn bad_target_lists_are_refused_as_a_whole() {
-    let bad = [
+fn invalid_target_lists_are_rejected_as_a_whole() {
+    let invalid = [
         TARGET.replace("serving", "sleeping"),
         TARGET.replace("127.0.0.1:9000", "localhost:9000"),
         TARGET.replace("127.0.0.1:9000", "127.0.0.1:0"),
@@ -35,11 +35,11 @@
         TARGET.replace("503", "200"),
         TARGET.replace("\"slots\":2,", ""),
     ];
-    let mut shown: Vec<String> = bad.iter().map(|entry| targets(&[entry])).collect();
-    shown.push(targets(&[TARGET, TARGET]));
-    shown.push(targets(&[TARGET, &TARGET.replace("t1", "t2")]));
-    shown.push(targets(&["{"]));
-    insta::assert_snapshot!(shown.join("\n"));
+    let mut errors: Vec<String> = invalid.iter().map(|entry| format_targets(&[entry])).collect();
+    errors.push(format_targets(&[TARGET, TARGET]));
+    errors.push(format_targets(&[TARGET, &TARGET.replace("t1", "t2")]));
+    errors.push(format_targets(&["{"]));
+    insta::assert_snapshot!(errors.join("\n"));
 }
 
 #[test]
--- a/crates/platform/tests/support/mod.rs
+++ b/crates/platform/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A replica of the platform that answers what it is told to, byte for byte.
+//! Fake replica of the platform with a fixed answer.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// Answers every request with the same bytes and counts the requests.
+/// Server that answers every request with the same bytes and counts the requests.
 pub struct FakeReplica {
     pub endpoint: Endpoint,
     requests: Arc<AtomicUsize>,
@@ -16,7 +16,8 @@
 }
 
 impl FakeReplica {
-    /// Answers with these bytes, then closes the connection.
+    /// Starts a replica that answers with these bytes and then closes the connection; an empty
+    /// answer leaves the request unanswered.
     pub async fn with_answer(answer: String) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let endpoint = Endpoint::new(listener.local_addr().expect("address"));
@@ -24,21 +25,21 @@
         let counter = requests.clone();
         let server = tokio::spawn(async move {
             while let Ok((connection, _)) = listener.accept().await {
-                tokio::spawn(answer_one(connection, answer.clone(), counter.clone()));
+                tokio::spawn(serve_connection(connection, answer.clone(), counter.clone()));
             }
         });
         Self { endpoint, requests, server }
     }
 
-    /// Answers with this status and body.
+    /// Starts a replica that answers with this status and body.
     pub async fn with_body(status: &str, body: &str) -> Self {
         let length = body.len();
         Self::with_answer(format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\n\r\n{body}"))
             .await
     }
 
-    /// Requests that arrived.
-    pub fn requests(&self) -> usize {
+    /// Returns the number of requests received.
+    pub fn request_count(&self) -> usize {
         self.requests.load(Ordering::SeqCst)
     }
 }
@@ -51,15 +52,15 @@
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-async fn answer_one(mut connection: TcpStream, answer: String, requests: Arc<AtomicUsize>) {
+async fn serve_connection(mut connection: TcpStream, answer: String, requests: Arc<AtomicUsize>) {
     let mut head = Vec::new();
     while !head.ends_with(HEAD_END) {
         let Ok(byte) = connection.read_u8().await else { return };
         head.push(byte);
     }
     requests.fetch_add(1, Ordering::SeqCst);
-    let silent = answer.is_empty();
-    if silent {
+    let is_unanswered = answer.is_empty();
+    if is_unanswered {
         std::future::pending::<()>().await;
     }
     let _ = connection.write_all(answer.as_bytes()).await;
