--- a/crates/settings/src/key_spec.rs
+++ b/crates/settings/src/key_spec.rs
@@ -1,27 +1,27 @@
-//! The table of keys.
+//! Specification of the keys of the settings file.
 
-/// Whether a key may be left out.
+/// Whether a key may be omitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Presence {
-    /// The key must be given.
+    /// The key is required.
     Required,
-    /// The key may be left out; this text stands in for it.
+    /// The key may be omitted; this text is its default value.
     Default(&'static str),
-    /// The key may be left out and then has no value.
+    /// The key may be omitted and then has no value.
     Optional,
 }
 
-/// One key of the settings file.
+/// Key of the settings file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeySpec {
-    /// Section that the key stands in.
+    /// Section of the key.
     pub section: &'static str,
-    /// Name of the key; its suffix names the unit.
+    /// Name of the key; its suffix gives the unit.
     pub key: &'static str,
-    /// What a value looks like, such as "a whole number".
+    /// Format of a value, such as "whole number".
     pub kind: &'static str,
-    /// Whether the key may be left out.
+    /// Whether the key may be omitted.
     pub presence: Presence,
-    /// A valid value.
+    /// Example of a valid value.
     pub example: &'static str,
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The settings file of `shallotd`: INI text to typed, checked values.
+//! Settings file of `shallotd`: parses INI text into typed and validated values.
 //!
-//! Every error is reported at once. Defaults stand next to the key they belong to, in `sections`;
-//! `docs/settings.md` has one entry per key and a test compares the two.
+//! All errors of a file are reported together. `sections` defines each key with its default;
+//! `docs/settings.md` documents each key, and a test compares the two.
 
 mod key_spec;
 mod reader;
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads values and collects every error.
+//! Reads values from the settings file and collects all errors.
 
 use shallotfork_ini::{Document, Entry};
 
@@ -6,7 +6,7 @@
 use crate::setting_error::SettingError;
 use crate::value::SettingValue;
 
-/// Hands out the values of a document and remembers what was wrong.
+/// Reads the values of a document and collects the errors found.
 pub(crate) struct Reader<'a> {
     document: &'a Document,
     errors: Vec<SettingError>,
@@ -21,7 +21,7 @@
         self.errors
     }
 
-    /// Reports every section and key that is unknown or repeated.
+    /// Records an error for each section that is unknown and each key that is unknown or repeated.
     pub(crate) fn check_names(&mut self, keys: &[&KeySpec]) {
         let mut seen = Vec::new();
         for section in &self.document.sections {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Reads one value, or reports why it cannot be read.
+    /// Parses one value, or records why it cannot be parsed.
     pub(crate) fn value<T: SettingValue>(&mut self, spec: &KeySpec) -> Option<T> {
         let entry = self.entry(spec.section, spec.key);
         let (line, text) = match (entry, spec.presence) {
@@ -70,21 +70,21 @@
         }
     }
 
-    /// Reports that a key's value does not fit the others.
+    /// Records an error for a key.
     pub(crate) fn reject(&mut self, section: &str, key: &str, reason: &str) {
         let line = self.entry(section, key).map(|entry| entry.line);
         self.errors.push(SettingError::new(line, section, key, reason));
     }
 
-    /// Reports `reason` unless `holds`.
-    pub(crate) fn require(&mut self, holds: bool, section: &str, key: &str, reason: &str) {
-        if !holds {
+    /// Records an error with this reason unless `is_valid`.
+    pub(crate) fn require(&mut self, is_valid: bool, section: &str, key: &str, reason: &str) {
+        if !is_valid {
             self.reject(section, key, reason);
         }
     }
 
     fn entry(&self, section: &str, key: &str) -> Option<&'a Entry> {
-        let sections = self.document.sections.iter().filter(|found| found.name == section);
-        sections.flat_map(|found| &found.entries).find(|entry| entry.key == key)
+        let sections = self.document.sections.iter().filter(|candidate| candidate.name == section);
+        sections.flat_map(|section| &section.entries).find(|entry| entry.key == key)
     }
 }
--- a/crates/settings/src/sections.rs
+++ b/crates/settings/src/sections.rs
@@ -1,6 +1,6 @@
-//! One type per section, with its keys and defaults.
+//! One type per section of the settings file, with its keys and defaults.
 
-/// Declares a section: its type, its table of keys and how it is read.
+/// Declares a section: its type, its key specifications and the function that reads it.
 macro_rules! section {
     (
         $(#[$doc:meta])*
@@ -66,14 +66,15 @@
 
 use crate::reader::Reader;
 
-/// Callers and peers cannot connect to 0.0.0.0; they need an address that means this VM to them.
+/// Checks that the advertised address is not unspecified: callers and peers cannot connect to
+/// 0.0.0.0.
 fn check_advertise(
     reader: &mut Reader<'_>,
     section: &str,
     listen: Endpoint,
     advertise: Option<Endpoint>,
 ) {
-    let shown = advertise.unwrap_or(listen);
-    let reachable = !shown.address().ip().is_unspecified();
-    reader.require(reachable, section, "advertise", "an address that others can connect to");
+    let advertised = advertise.unwrap_or(listen);
+    let is_connectable = !advertised.address().ip().is_unspecified();
+    reader.require(is_connectable, section, "advertise", "an address that others can connect to");
 }
--- a/crates/settings/src/sections/balance.rs
+++ b/crates/settings/src/sections/balance.rs
@@ -1,4 +1,4 @@
-//! `[balance]`
+//! The section `[balance]`.
 
 use shallotfork_balance::Policy;
 use shallotfork_types::Permille;
@@ -6,18 +6,18 @@
 use crate::Presence::Default;
 
 section! {
-    /// Queues and budgets for extra attempts.
+    /// Target selection, queues, and budgets for retries and hedges.
     BalanceSettings = "balance" {
-        /// How a target is chosen: `load-aware`, or one to compare with, which has no queue and no
-        /// hedges: `random`, `round-robin`, `least-in-flight`, `power-of-two`.
+        /// Policy that selects a target: `load-aware`, or a baseline for comparison without queue and
+        /// hedges: `random`, `round-robin`, `least-in-flight` or `power-of-two`.
         policy: Policy = "policy", Default("load-aware"), "load-aware";
-        /// Entries that serve one service: those that answers to callers name.
+        /// Number of entries that serve one service and are advertised to its callers.
         entries_per_service: u32 = "entries_per_service", Default("4"), "4";
-        /// Requests that wait for a target of one service; further ones are refused.
+        /// Maximum number of queued requests of one service; further ones are rejected.
         queue_max: usize = "queue_max", Default("256"), "256";
-        /// Retries as a share of first attempts.
+        /// Maximum number of retries as a share of first attempts.
         retry_budget: Permille = "retry_permille", Default("20"), "20";
-        /// Hedges as a share of first attempts.
+        /// Maximum number of hedges as a share of first attempts.
         hedge_budget: Permille = "hedge_permille", Default("25"), "25";
     }
 }
--- a/crates/settings/src/sections/leaving.rs
+++ b/crates/settings/src/sections/leaving.rs
@@ -1,4 +1,4 @@
-//! `[leaving]`
+//! The section `[leaving]`.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 section! {
     /// Graceful shutdown.
     LeavingSettings = "leaving" {
-        /// Longest wait for requests in flight after a stop was asked for.
+        /// Maximum wait for requests in flight after a stop was requested.
         grace_max: Duration = "grace_max_ms", Default("30000"), "30000";
     }
 }
--- a/crates/settings/src/sections/once.rs
+++ b/crates/settings/src/sections/once.rs
@@ -1,4 +1,4 @@
-//! `[once]`
+//! The section `[once]`.
 
 use std::time::Duration;
 
@@ -10,25 +10,27 @@
 section! {
     /// Sessions and the idempotency ledger.
     OnceSettings = "once" {
-        /// How long a session may start operations.
+        /// Time during which operations may be started in a session.
         session_lifetime: Duration = "session_lifetime_ms", Default("600000"), "600000";
-        /// Operations remembered at once; further ones are refused.
+        /// Maximum number of operations in the ledger; further ones are rejected.
         operations_max: usize = "operations_max", Default("100000"), "100000";
-        /// Memory for the answers kept for repeats.
+        /// Maximum memory for answers kept for repeated requests.
         kept_bytes_max: Bytes = "kept_bytes_max", Default("32MiB"), "32MiB";
-        /// Largest answer kept for repeats; of a larger one only the fact that it ran is kept.
+        /// Maximum size of an answer kept for repeated requests; for a larger answer only the fact that
+        /// the operation ran is kept.
         kept_answer_max: Bytes = "kept_answer_max", Default("256KiB"), "256KiB";
-        /// Peers that get a copy of the sealed ledger on a planned stop.
+        /// Number of peers that receive a copy of the sealed ledger on a planned stop.
         handoff_peers: usize = "handoff_peers", Default("2"), "2";
     }
 }
 
 impl OnceSettings {
-    pub(crate) fn check(&self, reader: &mut Reader<'_>) {
-        let mut require = |holds, key, reason| reader.require(holds, Self::SECTION, key, reason);
+    pub(crate) fn validate(&self, reader: &mut Reader<'_>) {
+        let mut require =
+            |is_valid, key, reason| reader.require(is_valid, Self::SECTION, key, reason);
         require(!self.session_lifetime.is_zero(), "session_lifetime_ms", "at least 1");
         require(self.operations_max > 0, "operations_max", "at least 1");
-        let fits = self.kept_answer_max <= self.kept_bytes_max;
-        require(fits, "kept_answer_max", "at most kept_bytes_max");
+        let is_within_total = self.kept_answer_max <= self.kept_bytes_max;
+        require(is_within_total, "kept_answer_max", "at most kept_bytes_max");
     }
 }
--- a/crates/settings/src/sections/operators.rs
+++ b/crates/settings/src/sections/operators.rs
@@ -1,4 +1,4 @@
-//! `[operators]`
+//! The section `[operators]`.
 
 use std::path::PathBuf;
 
@@ -8,19 +8,20 @@
 use crate::reader::Reader;
 
 section! {
-    /// The port that `shallotctl` and the metrics collector read.
+    /// Port for `shallotctl` and the metrics collector.
     OperatorsSettings = "operators" {
-        /// Address to listen on; port 0 lets the kernel choose.
+        /// Address to listen on; with port 0 the kernel chooses the port.
         listen: Endpoint = "listen", Default("127.0.0.1:0"), "127.0.0.1:8082";
-        /// File with the token that readers must show; required off the loopback address.
+        /// File with the token that operators must present; required unless `listen` is a loopback
+        /// address.
         token_file: Option<PathBuf> = "token_file", Optional, "/run/shallotd/operator.token";
     }
 }
 
 impl OperatorsSettings {
-    pub(crate) fn check(&self, reader: &mut Reader<'_>) {
-        let guarded = self.token_file.is_some() || self.listen.address().ip().is_loopback();
+    pub(crate) fn validate(&self, reader: &mut Reader<'_>) {
+        let is_protected = self.token_file.is_some() || self.listen.address().ip().is_loopback();
         let reason = "required when listen is not a loopback address";
-        reader.require(guarded, Self::SECTION, "token_file", reason);
+        reader.require(is_protected, Self::SECTION, "token_file", reason);
     }
 }
--- a/crates/settings/src/sections/vm.rs
+++ b/crates/settings/src/sections/vm.rs
@@ -1,4 +1,4 @@
-//! `[vm]`
+//! The section `[vm]`.
 
 use shallotfork_types::{FailureDomain, Region, VmId};
 
@@ -6,7 +6,7 @@
 use crate::reader::Reader;
 
 section! {
-    /// This VM and its place in the fleet.
+    /// Identity of this VM in the fleet.
     VmSettings = "vm" {
         /// Name of the VM, unique in the fleet.
         id: VmId = "id", Required, "entry-1";
@@ -14,16 +14,16 @@
         failure_domain: FailureDomain = "failure_domain", Required, "kalgoorlie";
         /// Region of the VM.
         region: Region = "region", Default("main"), "goldfields";
-        /// Which share of the probe budget this VM uses, from 0; unique in the fleet.
+        /// Index of the share of the probe budget that this VM uses, from 0; unique in the fleet.
         probe_share: u32 = "probe_share", Default("0"), "3";
-        /// Into how many shares the probe budget is split: the largest size of the fleet.
+        /// Number of shares of the probe budget: the maximum size of the fleet.
         probe_shares: u32 = "probe_shares", Default("16"), "16";
     }
 }
 
 impl VmSettings {
-    pub(crate) fn check(&self, reader: &mut Reader<'_>) {
-        let known = self.probe_share < self.probe_shares;
-        reader.require(known, Self::SECTION, "probe_share", "a number below probe_shares");
+    pub(crate) fn validate(&self, reader: &mut Reader<'_>) {
+        let is_in_range = self.probe_share < self.probe_shares;
+        reader.require(is_in_range, Self::SECTION, "probe_share", "a number below probe_shares");
     }
 }
--- a/crates/settings/src/setting_error.rs
+++ b/crates/settings/src/setting_error.rs
@@ -1,20 +1,20 @@
-//! The error for a settings file.
+//! Error for a settings file.
 
 use std::error::Error;
 use std::fmt;
 
 use shallotfork_ini::IniError;
 
-/// When a section, a key or a value is wrong or missing.
+/// Invalid or missing section, key or value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingError {
-    /// Line in the file, from 1; `None` when something is missing.
+    /// Line in the file, from 1; `None` if the key is missing.
     pub line: Option<usize>,
-    /// Section, empty when the line is not INI.
+    /// Section; empty if the line is not valid INI.
     pub section: String,
-    /// Key, empty when the error concerns the whole section or line.
+    /// Key; empty if the error concerns a whole section or line.
     pub key: String,
-    /// What is wrong.
+    /// Description of the error.
     pub reason: String,
 }
 
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! The whole settings file.
+//! The parsed settings file.
 
 use shallotfork_ini::Document;
 
@@ -10,22 +10,22 @@
 };
 use crate::setting_error::SettingError;
 
-/// Every setting of one `shallotd`.
+/// All settings of a `shallotd` process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// This VM.
+    /// Identity of this VM.
     pub vm: VmSettings,
-    /// The callers' port.
+    /// Port for callers.
     pub callers: CallersSettings,
-    /// The port for the other entries.
+    /// Port for other entries.
     pub peers: PeersSettings,
-    /// The operators' port.
+    /// Port for operators.
     pub operators: OperatorsSettings,
-    /// How the platform is read.
+    /// Access to the platform.
     pub platform: PlatformSettings,
-    /// Idempotency ledger.
+    /// Sessions and the idempotency ledger.
     pub once: OnceSettings,
-    /// Queues and budgets for extra attempts.
+    /// Target selection, queues, and budgets for retries and hedges.
     pub balance: BalanceSettings,
     /// Budgets for probes and new connections.
     pub measure: MeasureSettings,
@@ -34,17 +34,17 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
-    /// Everything that is wrong, in the order of the file; what is missing comes last.
+    /// Returns all errors in the order of the file; errors for missing keys come last.
     pub fn parse(text: &str) -> Result<Self, Vec<SettingError>> {
         let document = Document::parse(text).map_err(into_setting_errors)?;
         let mut reader = Reader::new(&document);
         reader.check_names(&Self::keys());
         let settings = Self::read(&mut reader);
         if let Some(settings) = &settings {
-            settings.check(&mut reader);
+            settings.validate(&mut reader);
         }
         let mut errors = reader.into_errors();
         errors.sort_by_key(|error| error.line.unwrap_or(usize::MAX));
@@ -54,9 +54,9 @@
         }
     }
 
-    /// Every key, in the order of the documentation.
+    /// Returns the specifications of all keys in the order of the documentation.
     pub fn keys() -> Vec<&'static KeySpec> {
-        let tables = [
+        let specs = [
             VmSettings::KEYS,
             CallersSettings::KEYS,
             PeersSettings::KEYS,
@@ -67,7 +67,7 @@
             MeasureSettings::KEYS,
             LeavingSettings::KEYS,
         ];
-        tables.into_iter().flatten().collect()
+        specs.into_iter().flatten().collect()
     }
 
     fn read(reader: &mut Reader<'_>) -> Option<Self> {
@@ -93,14 +93,14 @@
         })
     }
 
-    fn check(&self, reader: &mut Reader<'_>) {
-        self.vm.check(reader);
-        self.callers.check(reader);
-        self.peers.check(reader);
-        self.operators.check(reader);
-        self.platform.check(reader);
-        self.once.check(reader);
-        self.measure.check(reader);
+    fn validate(&self, reader: &mut Reader<'_>) {
+        self.vm.validate(reader);
+        self.callers.validate(reader);
+        self.peers.validate(reader);
+        self.operators.validate(reader);
+        self.platform.validate(reader);
+        self.once.validate(reader);
+        self.measure.validate(reader);
     }
 }
 
--- a/crates/settings/src/url_path.rs
+++ b/crates/settings/src/url_path.rs
@@ -1,16 +1,16 @@
-//! Paths of targets.
+//! URL paths on targets.
 
 use std::fmt;
 use std::str::FromStr;
 
 use shallotfork_types::ParseError;
 
-/// The path of a URL: `/` and visible ASCII.
+/// Path of a URL: starts with `/` and consists of is_visible ASCII characters other than `#`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UrlPath(String);
 
 impl UrlPath {
-    /// The path as text.
+    /// Returns the path as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -26,8 +26,8 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let visible = text.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'#');
-        if !text.starts_with('/') || !visible {
+        let is_visible = text.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'#');
+        if !text.starts_with('/') || !is_visible {
             return Err(ParseError::new("a path that begins with /", text));
         }
         Ok(Self(text.to_owned()))
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -1,4 +1,4 @@
-//! How each type of value is read from text.
+//! Parsing of the value types of settings.
 
 use std::path::PathBuf;
 use std::str::FromStr;
@@ -11,15 +11,15 @@
 
 use crate::url_path::UrlPath;
 
-/// A type that a setting may have.
+/// Type that a setting may have.
 pub(crate) trait SettingValue: Sized {
-    /// What a value looks like.
+    /// Format of a value, as shown in the documentation.
     const KIND: &'static str;
 
-    /// Reads the value of `key`.
+    /// Parses the value of `key`.
     fn read(key: &str, text: &str) -> Result<Self, ParseError>;
 
-    /// The value when an optional key is left out; `None` for types that need one.
+    /// Returns the value for an omitted optional key; `None` for types that require a value.
     fn absent() -> Option<Self> {
         None
     }
@@ -78,7 +78,7 @@
 impl SettingValue for Duration {
     const KIND: &'static str = "whole number";
 
-    /// The key's suffix names the unit: `_us`, or else `_ms`.
+    /// Takes the unit from the suffix of the key: microseconds for `_us`, else milliseconds.
     fn read(key: &str, text: &str) -> Result<Self, ParseError> {
         let number = u64::from(u32::read(key, text)?);
         if key.ends_with("_us") {
--- a/crates/settings/tests/docs.rs
+++ b/crates/settings/tests/docs.rs
@@ -1,11 +1,11 @@
-//! The documentation has one entry per key.
+//! Compares the keys with `docs/settings.md`.
 
 use shallotfork_settings::{KeySpec, Presence, Settings};
 
 const PAGE: &str = include_str!("../../../docs/settings.md");
 
-/// `section.key Type: …` for each entry of the page.
-fn entries_of_page() -> Vec<String> {
+/// Returns `section.key Type: …` for each entry of the page.
+fn documented_entries() -> Vec<String> {
     let mut section = "";
     let mut key = "";
     let mut entries = Vec::new();
@@ -21,7 +21,7 @@
     entries
 }
 
-fn entry_of_code(spec: &KeySpec) -> String {
+fn format_entry(spec: &KeySpec) -> String {
     let default = match spec.presence {
         Presence::Required => "required".to_owned(),
         Presence::Default(text) => format!("`{text}`"),
@@ -32,13 +32,13 @@
 }
 
 #[test]
-fn page_and_code_agree() {
-    let expected: Vec<String> = Settings::keys().into_iter().map(entry_of_code).collect();
-    assert_eq!(expected, entries_of_page());
+fn docs_list_every_key() {
+    let expected: Vec<String> = Settings::keys().into_iter().map(format_entry).collect();
+    assert_eq!(expected, documented_entries());
 }
 
 #[test]
-fn examples_are_a_valid_file() {
+fn examples_form_a_valid_file() {
     let keys = Settings::keys();
     let line = |spec: &&KeySpec| format!("[{}]\n{} = {}\n", spec.section, spec.key, spec.example);
     let text: String = keys.iter().map(line).collect();
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,8 +1,8 @@
-//! Settings files, good and bad.
+//! Parsing of valid and invalid settings files.
 
 use shallotfork_settings::{SettingError, Settings};
 
-const SMALLEST: &str = "\
+const MINIMAL: &str = "\
 [vm]
 id = entry-1
 failure_domain = kalgoorlie
@@ -15,17 +15,17 @@
 address = 127.0.0.1:7000, 127.0.0.2:7000
 ";
 
-fn shown(errors: &[SettingError]) -> String {
+fn format_errors(errors: &[SettingError]) -> String {
     errors.iter().map(|error| format!("{error}\n")).collect()
 }
 
 #[test]
-fn smallest_file_takes_defaults() {
-    insta::assert_debug_snapshot!(Settings::parse(SMALLEST).unwrap());
+fn minimal_file_uses_defaults() {
+    insta::assert_debug_snapshot!(Settings::parse(MINIMAL).unwrap());
 }
 
 #[test]
-fn every_error_is_reported_at_once() {
+fn all_errors_are_reported_together() {
     let text = "\
 [vm]
 id = not a name
@@ -40,21 +40,21 @@
 listen = 127.0.0.1:1
 [orchard]
 ";
-    insta::assert_snapshot!(shown(&Settings::parse(text).unwrap_err()));
+    insta::assert_snapshot!(format_errors(&Settings::parse(text).unwrap_err()));
 }
 
 #[test]
-fn values_that_contradict_each_other_are_errors() {
+fn contradicting_values_are_rejected() {
     let text = format!(
-        "{SMALLEST}\n[operators]\nlisten = 10.0.0.1:0\n[once]\nkept_answer_max = 64MiB\n\
+        "{MINIMAL}\n[operators]\nlisten = 10.0.0.1:0\n[once]\nkept_answer_max = 64MiB\n\
          [vm]\nprobe_share = 4\nprobe_shares = 4\n[callers]\ndeadline_default_ms = 70000\n\
          [measure]\nprobe_budget_permille = 1001\n"
     );
-    insta::assert_snapshot!(shown(&Settings::parse(&text).unwrap_err()));
+    insta::assert_snapshot!(format_errors(&Settings::parse(&text).unwrap_err()));
 }
 
 #[test]
-fn lines_that_are_not_ini_are_errors() {
-    let actual = shown(&Settings::parse("[vm]\nid entry-1\n[peers\n").unwrap_err());
+fn invalid_ini_lines_are_rejected() {
+    let actual = format_errors(&Settings::parse("[vm]\nid entry-1\n[peers\n").unwrap_err());
     insta::assert_snapshot!(actual);
 }
