--- a/crates/platform/src/target_list.rs
+++ b/crates/platform/src/target_list.rs
@@ -64,7 +64,8 @@
 /// Unknown fields are ignored, so that publishers can add fields.
 ///
 /// # Errors
-/// Returns an error if the content is not the expected JSON, or a target is invalid or listed twice.
+/// Returns an error if the content is not the expected JSON, or a target is invalid or listed
+/// twice.
 pub fn parse_targets(service: &ServiceName, content: &str) -> Result<Vec<TargetInfo>, ListError> {
     let list: ListJson = serde_json::from_str(content).map_err(ListError::new)?;
     let mut ids = HashSet::new();
--- a/crates/settings/src/sections/balance.rs
+++ b/crates/settings/src/sections/balance.rs
@@ -8,8 +8,8 @@
 section! {
     /// Target selection, queues, and budgets for retries and hedges.
     BalanceSettings = "balance" {
-        /// Policy that selects a target: `load-aware`, or a baseline for comparison without queue and
-        /// hedges: `random`, `round-robin`, `least-in-flight` or `power-of-two`.
+        /// Policy that selects a target: `load-aware`, or a baseline for comparison without queue
+        /// and hedges: `random`, `round-robin`, `least-in-flight` or `power-of-two`.
         policy: Policy = "policy", Default("load-aware"), "load-aware";
         /// Number of entries that serve one service and are advertised to its callers.
         entries_per_service: u32 = "entries_per_service", Default("4"), "4";
--- a/crates/settings/src/sections/once.rs
+++ b/crates/settings/src/sections/once.rs
@@ -16,8 +16,8 @@
         operations_max: usize = "operations_max", Default("100000"), "100000";
         /// Maximum memory for answers kept for repeated requests.
         kept_bytes_max: Bytes = "kept_bytes_max", Default("32MiB"), "32MiB";
-        /// Maximum size of an answer kept for repeated requests; for a larger answer only the fact that
-        /// the operation ran is kept.
+        /// Maximum size of an answer kept for repeated requests; for a larger answer only the fact
+        /// that the operation ran is kept.
         kept_answer_max: Bytes = "kept_answer_max", Default("256KiB"), "256KiB";
         /// Number of peers that receive a copy of the sealed ledger on a planned stop.
         handoff_peers: usize = "handoff_peers", Default("2"), "2";
--- a/crates/settings/src/sections/peers.rs
+++ b/crates/settings/src/sections/peers.rs
@@ -39,6 +39,6 @@
     }
 }
 
-/// Minimum number of heartbeat intervals before a peer is suspected, so that a single lost heartbeat
-/// is not enough.
+/// Minimum number of heartbeat intervals before a peer is suspected, so that a single lost
+/// heartbeat is not enough.
 const MIN_HEARTBEATS_BEFORE_SUSPICION: u32 = 2;
--- a/crates/settings/src/url_path.rs
+++ b/crates/settings/src/url_path.rs
@@ -5,7 +5,7 @@
 
 use shallotfork_types::ParseError;
 
-/// Path of a URL: starts with `/` and consists of is_visible ASCII characters other than `#`.
+/// Path of a URL: starts with `/` and consists of visible ASCII characters other than `#`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UrlPath(String);
 
--- a/crates/shallotd/src/args.rs
+++ b/crates/shallotd/src/args.rs
@@ -1,11 +1,11 @@
-//! The command line of `shallotd`.
+//! Command line of `shallotd`.
 
 use std::path::PathBuf;
 
 use anyhow::{Result, bail};
 use lexopt::prelude::{Long, Short};
 
-/// Text of `--help`.
+/// Text printed by `--help`.
 pub const HELP: &str = "\
 shallotd: the load balancer's daemon
 
@@ -20,12 +20,12 @@
 Exit codes: 0 stopped as asked, 1 failed while running, 2 wrong command line or settings.
 ";
 
-/// What the command line asks for.
+/// Command given on the command line.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Request {
-    /// Run the daemon.
+pub enum Command {
+    /// Run the daemon with this settings file.
     Run(PathBuf),
-    /// Check a settings file.
+    /// Check this settings file.
     Check(PathBuf),
     /// Print the help text.
     Help,
@@ -33,23 +33,23 @@
     Version,
 }
 
-/// Reads the command line.
+/// Parses the command line.
 ///
 /// # Errors
-/// When an option is unknown, lacks its value, or none is given.
-pub fn args(mut parser: lexopt::Parser) -> Result<Request> {
+/// Returns an error if an option is unknown or lacks its value, or if no option is given.
+pub fn parse_args(mut parser: lexopt::Parser) -> Result<Command> {
     let Some(option) = parser.next()? else {
         bail!("no option given; see --help");
     };
-    let request = match option {
-        Long("settings") => Request::Run(parser.value()?.into()),
-        Long("check") => Request::Check(parser.value()?.into()),
-        Long("help") | Short('h') => Request::Help,
-        Long("version") | Short('V') => Request::Version,
+    let command = match option {
+        Long("settings") => Command::Run(parser.value()?.into()),
+        Long("check") => Command::Check(parser.value()?.into()),
+        Long("help") | Short('h') => Command::Help,
+        Long("version") | Short('V') => Command::Version,
         other => return Err(other.unexpected().into()),
     };
     if let Some(extra) = parser.next()? {
         return Err(extra.unexpected().into());
     }
-    Ok(request)
+    Ok(command)
 }
--- a/crates/shallotd/src/context.rs
+++ b/crates/shallotd/src/context.rs
@@ -1,4 +1,4 @@
-//! What every part of the process is handed.
+//! Shared state of the process.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,41 +14,42 @@
 use crate::snapshot::Snapshot;
 use crate::traffic::{InFlight, TargetGate};
 
-/// Shared state of the process; control writes the snapshot, everybody else reads.
+/// State that all parts of the process share. The control thread writes the snapshot; all other
+/// threads read it.
 pub struct Context {
-    /// The checked settings.
+    /// Validated settings.
     pub settings: Settings,
-    /// Who this process is.
+    /// Identity of this process.
     pub identity: Identity,
-    /// The process's monotonic clock.
+    /// Monotonic clock of the process.
     pub clock: Clock,
-    /// The process's log.
+    /// Logger of the process.
     pub log: Logger,
-    /// What control has published last.
+    /// Snapshot that the control thread published last.
     pub snapshot: ArcSwap<Snapshot>,
-    /// Sends questions to the control thread.
+    /// Sends commands to the control thread.
     pub control: ControlHandle,
-    /// Connections to targets.
+    /// Sends requests to targets.
     pub exchange: Exchange,
-    /// New connections to targets.
+    /// Limits new connections to targets.
     pub connection_gate: TargetGate,
-    /// Memory for bodies.
+    /// Memory budget for bodies.
     pub body_budget: BodyBudget,
     /// Requests in flight.
     pub in_flight: InFlight,
-    /// Rotates the entries named in answers.
+    /// Counter that rotates the entries advertised in answers.
     pub entry_rotation: AtomicU64,
-    /// Numbers of claims made by this process.
+    /// Counter that numbers the claims made by this process.
     pub claim_counter: AtomicU64,
 }
 
 impl Context {
-    /// The next number of a counter.
+    /// Returns the next value of a counter.
     pub fn next_value(counter: &AtomicU64) -> u64 {
         counter.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// The snapshot in force.
+    /// Returns the snapshot in force.
     pub fn snapshot(&self) -> Arc<Snapshot> {
         self.snapshot.load_full()
     }
--- a/crates/shallotd/src/identity.rs
+++ b/crates/shallotd/src/identity.rs
@@ -1,18 +1,18 @@
-//! Who this process is.
+//! Identity of this process.
 
 use shallotfork_types::{Endpoint, FailureDomain, Incarnation, VmId};
 
-/// Name, run and addresses of this process.
+/// Name, incarnation and addresses of this process.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// The VM.
+    /// Name of the VM.
     pub vm: VmId,
-    /// This run of the process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Where the VM stands.
+    /// Failure domain of the VM.
     pub failure_domain: FailureDomain,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub callers: Endpoint,
-    /// Where peers connect.
+    /// Address that peers connect to.
     pub peers: Endpoint,
 }
--- a/crates/shallotd/src/lib.rs
+++ b/crates/shallotd/src/lib.rs
@@ -1,8 +1,8 @@
-//! The daemon: one process on each entry VM.
+//! The daemon that runs on each entry VM.
 //!
-//! Control state lives on one thread (`control`): published lists, membership, the ledger, calls
-//! between entries and probes. Traffic threads (`traffic`) read snapshots that control publishes.
-//! `operator` answers operators on a port of its own.
+//! The control thread (`control`) owns the published lists, membership, the ledger, calls between
+//! entries and probes. Traffic threads (`traffic`) read the snapshots that it publishes. `operator`
+//! serves operators on a separate port.
 
 pub mod args;
 mod context;
--- a/crates/shallotd/src/main.rs
+++ b/crates/shallotd/src/main.rs
@@ -1,41 +1,41 @@
-//! The program `shallotd`.
+//! Entry point of the program `shallotd`.
 
 use std::process::ExitCode;
 
 use anyhow::Result;
-use shallotd::args::{HELP, Request, args};
+use shallotd::args::{Command, HELP, parse_args};
 
-const EXIT_FAILED: u8 = 1;
+const EXIT_FAILURE: u8 = 1;
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
-    let request = match args(lexopt::Parser::from_env()) {
-        Ok(request) => request,
-        Err(error) => return fail(EXIT_USAGE, &error),
+    let command = match parse_args(lexopt::Parser::from_env()) {
+        Ok(command) => command,
+        Err(error) => return report_error(EXIT_USAGE, &error),
     };
-    match request {
-        Request::Help => print!("{HELP}"),
-        Request::Version => println!("shallotd {}", env!("CARGO_PKG_VERSION")),
-        Request::Check(path) => match shallotd::load_settings(&path) {
+    match command {
+        Command::Help => print!("{HELP}"),
+        Command::Version => println!("shallotd {}", env!("CARGO_PKG_VERSION")),
+        Command::Check(path) => match shallotd::load_settings(&path) {
             Ok(_) => println!("{}: valid", path.display()),
-            Err(error) => return fail(EXIT_USAGE, &error),
+            Err(error) => return report_error(EXIT_USAGE, &error),
         },
-        Request::Run(path) => match shallotd::load_settings(&path) {
-            Ok(settings) => return finish(shallotd::run(settings)),
-            Err(error) => return fail(EXIT_USAGE, &error),
+        Command::Run(path) => match shallotd::load_settings(&path) {
+            Ok(settings) => return exit_code(shallotd::run(settings)),
+            Err(error) => return report_error(EXIT_USAGE, &error),
         },
     }
     ExitCode::SUCCESS
 }
 
-fn finish(result: Result<()>) -> ExitCode {
+fn exit_code(result: Result<()>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => fail(EXIT_FAILED, &error),
+        Err(error) => report_error(EXIT_FAILURE, &error),
     }
 }
 
-fn fail(code: u8, error: &anyhow::Error) -> ExitCode {
+fn report_error(code: u8, error: &anyhow::Error) -> ExitCode {
     eprintln!("shallotd: {error:#}");
     ExitCode::from(code)
 }
--- a/crates/shallotd/src/metrics_catalogue.rs
+++ b/crates/shallotd/src/metrics_catalogue.rs
@@ -1,26 +1,26 @@
-//! Every metric of the process: name, unit and meaning, as `docs/metrics.md` lists them.
+//! Catalogue of metrics: name, kind and help text, as listed in `docs/metrics.md`.
 
 use metrics::{Unit, describe_counter, describe_gauge, describe_histogram};
 
-/// One metric.
+/// Metric of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Metric {
-    /// Name, with the unit as suffix.
+    /// Name with the unit as suffix.
     pub name: &'static str,
-    /// What it measures.
+    /// Help text.
     pub help: &'static str,
-    /// How its values are to be read.
-    pub kind: Kind,
+    /// Kind of the metric.
+    pub kind: MetricKind,
 }
 
-/// How a metric's values are to be read.
+/// Kinds of metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
-    /// Only grows.
+pub enum MetricKind {
+    /// Value that only grows.
     Counter,
-    /// A value as of now.
+    /// Current value.
     Gauge,
-    /// A distribution of durations in seconds.
+    /// Distribution of durations in seconds.
     Seconds,
 }
 
@@ -28,10 +28,10 @@
     ($($id:ident = $name:literal, $kind:ident, $help:literal;)*) => {
         $(
             #[doc = $help]
-            pub const $id: Metric = Metric { name: $name, help: $help, kind: Kind::$kind };
+            pub const $id: Metric = Metric { name: $name, help: $help, kind: MetricKind::$kind };
         )*
 
-        /// Every metric in the order of the docs.
+        /// All metrics in the order of `docs/metrics.md`.
         pub const METRICS: &[Metric] = &[$($id),*];
     };
 }
@@ -67,13 +67,13 @@
     SESSION_OPERATIONS = "shallotd_session_operations", Gauge, "Operations in the ledger.";
 }
 
-/// Tells the recorder what each metric means.
-pub fn describe() {
+/// Registers the help texts of all metrics with the recorder.
+pub fn describe_metrics() {
     for metric in METRICS {
         match metric.kind {
-            Kind::Counter => describe_counter!(metric.name, metric.help),
-            Kind::Gauge => describe_gauge!(metric.name, metric.help),
-            Kind::Seconds => describe_histogram!(metric.name, Unit::Seconds, metric.help),
+            MetricKind::Counter => describe_counter!(metric.name, metric.help),
+            MetricKind::Gauge => describe_gauge!(metric.name, metric.help),
+            MetricKind::Seconds => describe_histogram!(metric.name, Unit::Seconds, metric.help),
         }
     }
 }
--- a/crates/shallotd/src/operator/metrics_page.rs
+++ b/crates/shallotd/src/operator/metrics_page.rs
@@ -1,4 +1,4 @@
-//! `GET /metrics`: every metric of the process in Prometheus' text format.
+//! `GET /metrics`: the metrics of the process in the text format of Prometheus.
 
 use anyhow::Result;
 use http::StatusCode;
@@ -12,35 +12,36 @@
 use crate::metrics_catalogue::{
     ANSWER_SECONDS, BODIES_BYTES, ENTRIES, IN_FLIGHT, LIST_REFUSED, LIST_REVISION, PLATFORM_CALLS,
     READY, SESSION_OPERATIONS, SESSIONS_ISSUED, SYNCED_REVISION, TARGET_IN_FLIGHT, TARGETS,
-    describe,
+    describe_metrics,
 };
 
 const CONTENT_TYPE: &str = "text/plain; version=0.0.4";
-/// From half a millisecond, about what a proxied call takes at least, to the usual deadline.
+/// Histogram buckets from half a millisecond, about the shortest duration of a proxied call, to the
+/// default deadline.
 const SECONDS_BUCKETS: [f64; 13] =
     [0.0005, 0.001, 0.0017, 0.003, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 5.0];
 
-/// Collects the metrics of the process.
+/// Recorder of the metrics of the process.
 #[derive(Clone)]
 pub struct MetricsPage {
     recorder: PrometheusHandle,
 }
 
 impl MetricsPage {
-    /// Becomes the recorder of the process.
+    /// Installs the recorder of the process.
     ///
     /// # Errors
-    /// When the process has one already.
+    /// Returns an error if the process already has a recorder.
     pub fn install() -> Result<Self> {
         let matcher = Matcher::Full(ANSWER_SECONDS.name.to_owned());
         let builder = PrometheusBuilder::new().set_buckets_for_metric(matcher, &SECONDS_BUCKETS)?;
         let recorder = builder.install_recorder()?;
-        describe();
+        describe_metrics();
         Ok(Self { recorder })
     }
 
-    /// The page, with gauges as of `status`.
-    pub fn answer(&self, status: Option<StatusReport>, context: &Context) -> Response {
+    /// Returns the page, with gauges set from `status`.
+    pub fn render(&self, status: Option<StatusReport>, context: &Context) -> Response {
         let Some(status) = status else {
             return StatusCode::SERVICE_UNAVAILABLE.into_response();
         };
@@ -65,8 +66,12 @@
         let refused = list.refused_revision.unwrap_or(Revision::NONE).value() as f64;
         gauge!(LIST_REFUSED.name, "list" => list.name.to_string()).set(refused);
     }
-    set_states(ENTRIES.name, &ENTRY_STATES, status.entries.iter().map(|entry| &entry.state));
-    set_states(TARGETS.name, &TARGET_STATES, status.targets.iter().map(|target| &target.state));
+    set_state_gauges(ENTRIES.name, &ENTRY_STATES, status.entries.iter().map(|entry| &entry.state));
+    set_state_gauges(
+        TARGETS.name,
+        &TARGET_STATES,
+        status.targets.iter().map(|target| &target.state),
+    );
     let in_flight: u64 = status.targets.iter().map(|target| u64::from(target.in_flight)).sum();
     gauge!(TARGET_IN_FLIGHT.name).set(in_flight as f64);
 }
@@ -74,14 +79,15 @@
 const ENTRY_STATES: [&str; 3] = ["live", "suspected", "leaving"];
 const TARGET_STATES: [&str; 3] = ["serving", "draining", "ejected"];
 
-/// A state that nothing is in any more must go back to zero, so that all are set each time.
-fn set_states<'a>(
+/// Sets the gauge of each state. All states are set each time, so that a state without members
+/// returns to zero.
+fn set_state_gauges<'a>(
     name: &'static str,
-    known: &'static [&'static str],
-    found: impl Iterator<Item = &'a String> + Clone,
+    states: &'static [&'static str],
+    members: impl Iterator<Item = &'a String> + Clone,
 ) {
-    for state in known {
-        let count = found.clone().filter(|found| found.as_str() == *state).count();
+    for state in states {
+        let count = members.clone().filter(|member| member.as_str() == *state).count();
         gauge!(name, "state" => *state).set(count as f64);
     }
 }
--- a/crates/shallotd/src/operator/mod.rs
+++ b/crates/shallotd/src/operator/mod.rs
@@ -1,6 +1,6 @@
-//! The operators' port: readiness, status, the trail of changes and metrics.
+//! Port for operators: readiness, status, audit log and metrics.
 //!
-//! Nothing on this port changes anything; operators act by publishing.
+//! The port is read-only; operators make changes by publishing to the platform.
 
 mod metrics_page;
 mod token;
@@ -21,60 +21,61 @@
 pub use metrics_page::MetricsPage;
 pub use token::OperatorToken;
 
-/// What the operators' port answers from.
-pub struct Operator {
+/// State that the operators' port serves.
+pub struct OperatorApi {
     /// Shared state of the process.
     pub context: Arc<Context>,
-    /// Where the process is in its life cycle.
+    /// Current phase of the life cycle of the process.
     pub phase: watch::Receiver<Phase>,
-    /// What readers must show; `None` lets everybody read, on the loopback address only.
+    /// Token that requests must present; `None`, allowed only on a loopback address, accepts all
+    /// requests.
     pub token: Option<OperatorToken>,
-    /// Every metric of the process.
+    /// Metrics of the process.
     pub metrics: MetricsPage,
 }
 
-/// Path of the texts of lists; the list's name follows.
+/// Prefix of the paths of lists; the name of a list follows.
 const LISTS_PATH: &str = "/v1/lists/";
 
-/// The endpoint of the operators' port.
-pub fn operator(operator: Operator) -> impl Endpoint {
-    let operator = Arc::new(operator);
+/// Creates the endpoint of the operators' port.
+pub fn operator_endpoint(api: OperatorApi) -> impl Endpoint {
+    let api = Arc::new(api);
     make(move |request: Request| {
-        let operator = Arc::clone(&operator);
-        async move { operator.answer(&request).await }
+        let api = Arc::clone(&api);
+        async move { api.handle_request(&request).await }
     })
 }
 
-impl Operator {
-    async fn answer(&self, request: &Request) -> Response {
-        if !self.admits(request) {
-            return self.refuse(request);
+impl OperatorApi {
+    async fn handle_request(&self, request: &Request) -> Response {
+        if !self.is_authorized(request) {
+            return self.reject(request);
         }
         let control = &self.context.control;
         match request.uri().path() {
-            "/v1/ready" => ready(*self.phase.borrow()),
-            "/v1/status" => json(control.status().await),
-            "/v1/audit" => json(control.audit().await),
-            "/metrics" => self.metrics.answer(control.status().await, &self.context),
-            path => self.list(path).await,
+            "/v1/ready" => ready_response(*self.phase.borrow()),
+            "/v1/status" => json_response(control.status().await),
+            "/v1/audit" => json_response(control.audit().await),
+            "/metrics" => self.metrics.render(control.status().await, &self.context),
+            path => self.list_response(path).await,
         }
     }
 
-    /// The text of a list in force.
-    async fn list(&self, path: &str) -> Response {
+    /// Returns the content of a list in force.
+    async fn list_response(&self, path: &str) -> Response {
         let name = path.strip_prefix(LISTS_PATH).and_then(|name| name.parse().ok());
         match name {
-            Some(name) => text(self.context.control.list(name).await),
+            Some(name) => text_response(self.context.control.list(name).await),
             None => StatusCode::NOT_FOUND.into_response(),
         }
     }
 
-    fn admits(&self, request: &Request) -> bool {
-        let shown = request.header(AUTHORIZATION);
-        self.token.as_ref().is_none_or(|token| token.admits(shown))
+    fn is_authorized(&self, request: &Request) -> bool {
+        let authorization = request.header(AUTHORIZATION);
+        self.token.as_ref().is_none_or(|token| token.matches(authorization))
     }
 
-    fn refuse(&self, request: &Request) -> Response {
+    fn reject(&self, request: &Request) -> Response {
         let log = &self.context.log;
         event!(log, OPERATOR_REFUSED, "from" => request.remote_addr().to_string());
         Response::builder()
@@ -84,7 +85,7 @@
     }
 }
 
-fn ready(phase: Phase) -> Response {
+fn ready_response(phase: Phase) -> Response {
     let status = match phase {
         Phase::Serving => StatusCode::OK,
         _ => StatusCode::SERVICE_UNAVAILABLE,
@@ -92,14 +93,14 @@
     (status, phase.as_str()).into_response()
 }
 
-fn text(content: Option<String>) -> Response {
+fn text_response(content: Option<String>) -> Response {
     match content {
         Some(content) => content.into_response(),
         None => StatusCode::NOT_FOUND.into_response(),
     }
 }
 
-fn json<T: serde::Serialize + Send>(report: Option<T>) -> Response {
+fn json_response<T: serde::Serialize + Send>(report: Option<T>) -> Response {
     match report {
         Some(report) => Json(report).into_response(),
         None => StatusCode::SERVICE_UNAVAILABLE.into_response(),
--- a/crates/shallotd/src/operator/token.rs
+++ b/crates/shallotd/src/operator/token.rs
@@ -1,4 +1,4 @@
-//! The token that readers of a guarded operators' port must show.
+//! Token that protects the operators' port.
 
 use std::fs;
 use std::hint::black_box;
@@ -6,39 +6,39 @@
 
 use anyhow::{Context as _, Result, ensure};
 
-/// A shorter token could be guessed.
-const TOKEN_BYTES_MIN: usize = 16;
+/// Minimum length of a token; a shorter one could be guessed.
+const MIN_TOKEN_BYTES: usize = 16;
 const SCHEME: &str = "Bearer ";
 
-/// A token as read from the operators' file.
+/// Token of the operators' port.
 pub struct OperatorToken {
     token: Vec<u8>,
 }
 
 impl OperatorToken {
-    /// Reads a token file, without white space at the end.
+    /// Reads a token from a file and strips trailing whitespace.
     ///
     /// # Errors
-    /// When the file cannot be read or holds fewer than 16 bytes.
+    /// Returns an error if the file cannot be read or the token has fewer than 16 bytes.
     pub fn load(path: &Path) -> Result<Self> {
         let bytes = fs::read(path).with_context(|| path.display().to_string())?;
         let token = bytes.trim_ascii_end();
-        let long_enough = token.len() >= TOKEN_BYTES_MIN;
-        ensure!(long_enough, "{}: a token of at least 16 bytes is needed", path.display());
+        let is_long_enough = token.len() >= MIN_TOKEN_BYTES;
+        ensure!(is_long_enough, "{}: the token must have at least 16 bytes", path.display());
         Ok(Self { token: token.to_vec() })
     }
 
-    /// Whether an `Authorization` header shows this token.
-    pub fn admits(&self, authorization: Option<&str>) -> bool {
-        let shown = authorization.and_then(|text| text.strip_prefix(SCHEME));
-        shown.is_some_and(|shown| is_same(shown.as_bytes(), &self.token))
+    /// Returns whether an `Authorization` header contains this token.
+    pub fn matches(&self, authorization: Option<&str>) -> bool {
+        let presented = authorization.and_then(|text| text.strip_prefix(SCHEME));
+        presented.is_some_and(|presented| is_equal_constant_time(presented.as_bytes(), &self.token))
     }
 }
 
-/// Guards against a reader that finds the token byte by byte from how long a refusal takes: the
-/// time depends on the lengths only, as every pair of bytes is compared whatever came before.
-fn is_same(shown: &[u8], token: &[u8]) -> bool {
-    let pairs = shown.iter().zip(token);
+/// Compares in a time that depends only on the lengths, since all pairs of bytes are always
+/// compared. Otherwise the time of a rejection would reveal the token byte by byte.
+fn is_equal_constant_time(presented: &[u8], token: &[u8]) -> bool {
+    let pairs = presented.iter().zip(token);
     let difference = pairs.fold(0, |difference, (a, b)| black_box(difference | (a ^ b)));
-    shown.len() == token.len() && difference == 0
+    presented.len() == token.len() && difference == 0
 }
--- a/crates/shallotd/src/run.rs
+++ b/crates/shallotd/src/run.rs
@@ -28,15 +28,15 @@
 use crate::control::{ControlHandle, ControlParts, start};
 use crate::identity::Identity;
 use crate::leave::leave;
-use crate::operator::{MetricsPage, Operator, OperatorToken, operator};
+use crate::operator::{MetricsPage, OperatorApi, OperatorToken, operator_endpoint};
 use crate::snapshot::Snapshot;
-use crate::traffic::{InFlight, TargetGate, front};
+use crate::traffic::{InFlight, TargetGate, handle_request};
 use shallotfork_lifecycle::{Process, Starting};
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
-/// When the file cannot be read, or every error found in it.
+/// Returns an error if the file cannot be read, or one that lists all errors found in it.
 pub fn load_settings(path: &Path) -> Result<Settings> {
     let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
     match Settings::parse(&text) {
@@ -48,7 +48,7 @@
     }
 }
 
-/// The first line on standard output.
+/// First line on standard output.
 #[derive(Debug, Serialize)]
 struct ReadyLine {
     ready: bool,
@@ -64,14 +64,15 @@
     operators: StdListener,
 }
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until it receives a stop signal.
 ///
 /// # Errors
-/// When a port cannot be bound, a key file cannot be read, or a port fails while serving.
+/// Returns an error if a port cannot be bound, a key file cannot be read, or a port fails while
+/// serving.
 pub fn run(settings: Settings) -> Result<()> {
-    let ports = bind(&settings)?;
-    let identity = identity(&settings, &ports)?;
-    let key = peer_key(&settings)?;
+    let ports = bind_ports(&settings)?;
+    let identity = create_identity(&settings, &ports)?;
+    let key = load_peer_key(&settings)?;
     let token = settings.operators.token_file.as_deref().map(OperatorToken::load).transpose()?;
     let metrics = MetricsPage::install()?;
     print_ready_line(&identity, &ports)?;
@@ -80,7 +81,7 @@
         incarnation: identity.incarnation.to_string(),
         output: LogOutput::StandardError,
     };
-    let (log, _guard) = logger(&log_config);
+    let (log, _log_guard) = logger(&log_config);
     let process = Process::new(log.clone());
     let (control, commands) = ControlHandle::new();
     let clock = Clock::new();
@@ -95,7 +96,8 @@
         Arc::new(connection_gate.clone()),
         now,
     )?;
-    // Callers that ask many entries once each would otherwise all be sent to the same one.
+    // The rotation starts at a different value in each process. Otherwise callers that query many
+    // entries, each once, would all be sent to the same entry.
     let initial_rotation = identity.incarnation.value();
     let context = Arc::new(Context {
         settings,
@@ -111,7 +113,7 @@
         entry_rotation: AtomicU64::new(initial_rotation),
         claim_counter: AtomicU64::new(0),
     });
-    let (ready, is_ready) = watch::channel(false);
+    let (ready, ready_receiver) = watch::channel(false);
     let secret = Secret::new(rand::rng().random::<[u8; SECRET_BYTES]>());
     let parts = ControlParts {
         context: Arc::clone(&context),
@@ -122,21 +124,21 @@
         ready,
     };
     start(parts)?;
-    let operator =
-        Operator { context: Arc::clone(&context), phase: process.watch(), token, metrics };
+    let operator_api =
+        OperatorApi { context: Arc::clone(&context), phase: process.watch(), token, metrics };
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let traffic = TrafficParts {
         context,
         process,
         callers: ports.callers,
         operators: ports.operators,
-        operator,
-        is_ready,
+        operator_api,
+        ready_receiver,
     };
     runtime.block_on(serve_traffic(traffic))
 }
 
-/// This process's part of new and open connections to each target.
+/// Returns the share of this process in new and open connections to each target.
 fn connection_budget(settings: &Settings) -> ConnectionBudget {
     let share = FleetShare::new(settings.vm.probe_share, settings.vm.probe_shares)
         .expect("settings were checked: the share is below the number of shares");
@@ -144,10 +146,10 @@
     ConnectionBudget::new(limits, share)
 }
 
-fn bind(settings: &Settings) -> Result<Ports> {
-    let bind = |endpoint: Endpoint, what: &str| -> Result<StdListener> {
+fn bind_ports(settings: &Settings) -> Result<Ports> {
+    let bind = |endpoint: Endpoint, owner: &str| -> Result<StdListener> {
         let listener = StdListener::bind(endpoint.address())
-            .with_context(|| format!("cannot bind the {what}' port {endpoint}"))?;
+            .with_context(|| format!("cannot bind the {owner}' port {endpoint}"))?;
         listener.set_nonblocking(true)?;
         Ok(listener)
     };
@@ -158,7 +160,7 @@
     })
 }
 
-fn identity(settings: &Settings, ports: &Ports) -> Result<Identity> {
+fn create_identity(settings: &Settings, ports: &Ports) -> Result<Identity> {
     let bound = |listener: &StdListener| listener.local_addr().map(Endpoint::new);
     Ok(Identity {
         vm: settings.vm.id.clone(),
@@ -169,7 +171,7 @@
     })
 }
 
-fn peer_key(settings: &Settings) -> Result<PeerKey> {
+fn load_peer_key(settings: &Settings) -> Result<PeerKey> {
     let path = &settings.peers.key_file;
     let bytes = std::fs::read(path).with_context(|| path.display().to_string())?;
     PeerKey::new(&bytes).with_context(|| path.display().to_string())
@@ -192,40 +194,40 @@
     process: Process<Starting>,
     callers: StdListener,
     operators: StdListener,
-    operator: Operator,
-    is_ready: watch::Receiver<bool>,
+    operator_api: OperatorApi,
+    ready_receiver: watch::Receiver<bool>,
 }
 
 async fn serve_traffic(parts: TrafficParts) -> Result<()> {
-    let TrafficParts { context, process, callers, operators, operator: answers, mut is_ready } =
+    let TrafficParts { context, process, callers, operators, operator_api, mut ready_receiver } =
         parts;
-    let mut stop = Stop::new()?;
+    let mut stop_signals = StopSignals::new()?;
     let operator_control = ServeControl::new();
-    let operator_port = serve(
+    let operators_server = serve(
         TcpListener::from_std(operators)?,
-        operator(answers),
+        operator_endpoint(operator_api),
         ServeConfig::default(),
         operator_control.clone(),
     );
-    tokio::spawn(operator_port);
+    tokio::spawn(operators_server);
     let callers_control = ServeControl::new();
-    let shared = Arc::clone(&context);
-    let endpoint = make(move |request| front(Arc::clone(&shared), request));
-    let port = serve(
+    let shared_context = Arc::clone(&context);
+    let endpoint = make(move |request| handle_request(Arc::clone(&shared_context), request));
+    let callers_server = serve(
         TcpListener::from_std(callers)?,
         endpoint,
         serve_config(&context),
         callers_control.clone(),
     );
-    let port = tokio::spawn(port);
+    let callers_server = tokio::spawn(callers_server);
     tokio::select! {
-        ready = is_ready.wait_for(|ready| *ready) => drop(ready?),
-        () = stop.asked() => return Ok(()),
+        ready = ready_receiver.wait_for(|ready| *ready) => drop(ready?),
+        () = stop_signals.received() => return Ok(()),
     }
     let process = process.serve();
-    stop.asked().await;
+    stop_signals.received().await;
     leave(&context, process.leave(), &callers_control).await;
-    let _timed_out = tokio::time::timeout(context.settings.leaving.grace_max, port).await;
+    let _timed_out = tokio::time::timeout(context.settings.leaving.grace_max, callers_server).await;
     Ok(())
 }
 
@@ -238,13 +240,13 @@
     }
 }
 
-/// Signals that ask for a planned stop.
-struct Stop {
+/// Signals that request a planned stop.
+struct StopSignals {
     terminate: tokio::signal::unix::Signal,
     interrupt: tokio::signal::unix::Signal,
 }
 
-impl Stop {
+impl StopSignals {
     fn new() -> Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -252,7 +254,7 @@
         })
     }
 
-    async fn asked(&mut self) {
+    async fn received(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
--- a/crates/shallotd/src/snapshot.rs
+++ b/crates/shallotd/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What traffic threads read without asking the control thread.
+//! Snapshots of control state, which traffic threads read without calling the control thread.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
@@ -10,20 +10,20 @@
 
 use crate::traffic::ServicePool;
 
-/// The rules of one service, with the lists that they were made from.
+/// Rules of one service, with the lists that they are derived from.
 pub struct ServiceRules {
-    /// The general list.
+    /// Index of the general list.
     pub index: Arc<ServiceIndex>,
-    /// The service's own list.
+    /// List for this service only.
     pub service_list: Option<Arc<ServiceRuleList>>,
-    /// Both joined, without rules of other services.
+    /// Rules of both lists, without those of other services.
     pub list: RuleList,
-    /// Which load conditions hold; new with every list.
+    /// Load conditions that currently hold; reset with each new list.
     pub load_hysteresis: Mutex<LoadHysteresis>,
 }
 
 impl ServiceRules {
-    /// Joins the rules of a service, with no load condition holding.
+    /// Combines the rules of a service; no load condition holds initially.
     pub fn new(
         service: &ServiceName,
         index: Arc<ServiceIndex>,
@@ -35,35 +35,35 @@
     }
 }
 
-/// The published targets of one service.
+/// Published targets of one service.
 pub struct ServiceTargets {
-    /// The list as published.
+    /// List as published.
     pub published: Arc<Vec<TargetInfo>>,
-    /// The same by name.
+    /// Same targets by name.
     pub by_id: BTreeMap<TargetId, TargetInfo>,
 }
 
-/// One service as traffic sees it.
+/// State of one service for traffic threads.
 pub struct Service {
-    /// Chooses targets; the same one from snapshot to snapshot.
+    /// Pool that selects targets; the same instance in all snapshots.
     pub pool: Arc<ServicePool>,
-    /// The published targets.
+    /// Published targets.
     pub targets: Arc<ServiceTargets>,
-    /// Targets that this entry sends most of its work to.
+    /// Targets that this entry sends most of its requests to.
     pub home_targets: BTreeSet<TargetId>,
     /// Entries that serve the service.
     pub serving_entries: Arc<Vec<EntryVm>>,
-    /// Its rules; `None` until a general list is in force.
+    /// Rules of the service; `None` until a general list is in force.
     pub rules: Option<Arc<ServiceRules>>,
 }
 
-/// Everything that control has published; never changed, only replaced.
+/// State published by the control thread; immutable and replaced as a whole.
 #[derive(Default)]
 pub struct Snapshot {
     /// Whether a rule list is in force.
     pub ready: bool,
     /// Services with published targets.
     pub services: BTreeMap<ServiceName, Arc<Service>>,
-    /// Every entry VM with the belief about it.
+    /// All entry VMs with their states.
     pub entries: Vec<EntryVm>,
 }
--- a/crates/shallotd/src/traffic/counted.rs
+++ b/crates/shallotd/src/traffic/answer_metrics.rs
@@ -1,4 +1,4 @@
-//! Counts what callers are answered.
+//! Metrics of answers to callers.
 
 use std::time::Instant;
 
@@ -8,12 +8,12 @@
 
 use crate::metrics_catalogue::{ANSWER_SECONDS, ANSWERS};
 
-/// Counts one answer to a request that arrived at `arrived`.
-pub fn counted(response: &Response, arrived: Instant) {
+/// Records an answer to a request that was received at `received_at`.
+pub fn record_answer(response: &Response, received_at: Instant) {
     let status = status_class(response.status().as_u16());
     let verdict = response.headers().get(VERDICT_HEADER).map(|value| value.as_bytes());
     counter!(ANSWERS.name, "status" => status, "verdict" => verdict_label(verdict)).increment(1);
-    histogram!(ANSWER_SECONDS.name).record(arrived.elapsed());
+    histogram!(ANSWER_SECONDS.name).record(received_at.elapsed());
 }
 
 fn status_class(status: u16) -> &'static str {
@@ -25,7 +25,8 @@
     }
 }
 
-/// Labels come from a fixed set, so that no caller or target can make the page grow.
+/// Returns the label of a verdict. Labels come from a fixed set, so that no caller or target can
+/// make the metrics page grow.
 fn verdict_label(verdict: Option<&[u8]>) -> &'static str {
     match verdict {
         Some(b"not-run") => "not-run",
--- a/crates/shallotd/src/traffic/connection_gate.rs
+++ b/crates/shallotd/src/traffic/connection_gate.rs
@@ -1,4 +1,4 @@
-//! Spaces and bounds new connections to targets by this process's share of the fleet's budget.
+//! Limits new connections to targets to this process's share of the fleet's budget.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -12,11 +12,11 @@
 use shallotfork_types::{Endpoint, TargetId};
 use tokio::sync::Notify;
 
-/// A published target that connections may be opened to.
+/// Published target that connections may be opened to.
 pub struct GateTarget {
-    /// Where it is reached.
+    /// Address of the target.
     pub endpoint: Endpoint,
-    /// Its name.
+    /// Name of the target.
     pub id: TargetId,
 }
 
@@ -28,14 +28,15 @@
 struct Inner {
     clock: Clock,
     state: Mutex<State>,
-    /// Signalled when an attempt to connect has ended.
-    ended: Notify,
+    /// Notified when an attempt to connect has ended.
+    attempt_ended: Notify,
 }
 
-/// Makes each new connection wait for its turn.
+/// Delays each new connection until the connection budget allows it.
 ///
-/// Entries that all restart or lose their connections at once would reconnect at once; with a
-/// millisecond each on a target with two slots, that alone would hold up the requests.
+/// Entries that all restart or lose their connections at once would otherwise reconnect at once.
+/// Each new connection costs a target a millisecond; on a target with two slots, that alone would
+/// delay the requests.
 #[derive(Clone)]
 pub struct TargetGate {
     inner: Arc<Inner>,
@@ -47,47 +48,48 @@
     }
 }
 
-/// Held while a connection is being opened.
-struct Opening {
+/// Guard held while a connection is being opened.
+struct ConnectionAttempt {
     inner: Arc<Inner>,
     permit: Option<ConnectionPermit>,
 }
 
-impl Drop for Opening {
+impl Drop for ConnectionAttempt {
     fn drop(&mut self) {
         let now = self.inner.clock.now();
         if let Some(permit) = self.permit.take() {
             self.inner.lock().budget.release(permit, now);
         }
-        self.inner.ended.notify_waiters();
+        self.inner.attempt_ended.notify_waiters();
     }
 }
 
 impl TargetGate {
-    /// A gate that refuses every connection until it knows targets.
+    /// Creates a gate that rejects all connections until it knows targets.
     pub fn new(budget: ConnectionBudget, clock: Clock) -> Self {
         let state = Mutex::new(State { budget, ids: HashMap::new() });
-        Self { inner: Arc::new(Inner { clock, state, ended: Notify::new() }) }
+        Self { inner: Arc::new(Inner { clock, state, attempt_ended: Notify::new() }) }
     }
 
-    /// Takes a change of the published targets.
-    pub fn change_targets(&self, gone: &[GateTarget], present: &[GateTarget]) {
+    /// Applies a change of the published targets.
+    pub fn change_targets(&self, removed: &[GateTarget], present: &[GateTarget]) {
         let now = self.inner.clock.now();
         let mut state = self.inner.lock();
-        for target in gone {
-            let same = state.ids.get(&target.endpoint) == Some(&target.id);
-            if same {
+        for target in removed {
+            let is_same_target = state.ids.get(&target.endpoint) == Some(&target.id);
+            if is_same_target {
                 state.ids.remove(&target.endpoint);
             }
         }
         let ids = present.iter().map(|target| (target.endpoint, target.id.clone()));
         state.ids.extend(ids);
-        let gone: Vec<TargetId> = gone.iter().map(|target| target.id.clone()).collect();
+        let removed: Vec<TargetId> = removed.iter().map(|target| target.id.clone()).collect();
         let present: Vec<TargetId> = present.iter().map(|target| target.id.clone()).collect();
-        state.budget.change_targets(&gone, &present, now);
+        state.budget.change_targets(&removed, &present, now);
     }
 
-    /// How many connections this process may hold to a target that takes `connections_max`.
+    /// Returns the maximum number of connections that this process may hold to a target that
+    /// accepts `connections_max`.
     pub fn open_max(&self, connections_max: u32) -> u32 {
         self.inner.lock().budget.open_max(connections_max)
     }
@@ -99,26 +101,30 @@
         target: Endpoint,
     ) -> Pin<Box<dyn Future<Output = Option<ExchangePermit>> + Send + '_>> {
         Box::pin(async move {
-            let opening = self.inner.turn(target).await?;
-            Some(Box::new(opening) as ExchangePermit)
+            let attempt = self.inner.acquire(target).await?;
+            Some(Box::new(attempt) as ExchangePermit)
         })
     }
 }
 
 impl Inner {
-    /// Waits for the next turn; nothing for an address that is no published target's.
-    async fn turn(self: &Arc<Self>, target: Endpoint) -> Option<Opening> {
+    /// Waits until a connection may be opened; returns `None` if no published target has this
+    /// address.
+    async fn acquire(self: &Arc<Self>, target: Endpoint) -> Option<ConnectionAttempt> {
         let id = self.lock().ids.get(&target).cloned()?;
         loop {
-            let ended = self.ended.notified();
-            let taken = self.lock().budget.try_acquire(&id, self.clock.now());
-            match taken {
+            let attempt_ended = self.attempt_ended.notified();
+            let acquired = self.lock().budget.try_acquire(&id, self.clock.now());
+            match acquired {
                 Ok(permit) => {
-                    return Some(Opening { inner: Arc::clone(self), permit: Some(permit) });
+                    return Some(ConnectionAttempt {
+                        inner: Arc::clone(self),
+                        permit: Some(permit),
+                    });
                 }
                 Err(Some(at)) => tokio::time::sleep(at.since(self.clock.now())).await,
                 Err(None) if !self.lock().ids.contains_key(&target) => return None,
-                Err(None) => ended.await,
+                Err(None) => attempt_ended.await,
             }
         }
     }
--- a/crates/shallotd/src/traffic/dispatch.rs
+++ b/crates/shallotd/src/traffic/dispatch.rs
@@ -1,4 +1,4 @@
-//! One request on its way: rule, place in the pool, attempts, answer.
+//! Processing of one request: rules, admission to the pool, attempts, answer.
 
 use std::collections::BTreeSet;
 use std::pin::pin;
@@ -19,65 +19,66 @@
 
 use crate::context::Context;
 use crate::snapshot::{Service, Snapshot};
-use crate::traffic::operation::{Executed, operation, run_once};
-use crate::traffic::service_pool::Assigned;
-use crate::traffic::unserved::{Unserved, is_trouble};
+use crate::traffic::failed_attempt::{FailedAttempt, is_target_error};
+use crate::traffic::operation::{ExecutionResult, parse_operation, run_once};
+use crate::traffic::service_pool::AssignedAttempt;
 
-/// Header in which a target reports its load with an answer.
+/// Header of an answer in which a target reports its load.
 const LOAD_REPORT_HEADER: &str = "endpoint-load-metrics";
 
-/// One request with everything that was decided about it.
-struct Job {
+/// Request with the decisions made about it.
+struct PlannedRequest {
     context: Arc<Context>,
     service: Arc<Service>,
     request: Arc<WholeRequest>,
     outcome: Outcome,
     deadline: Mono,
-    /// Whether a second run does no harm.
-    repeatable: bool,
+    /// Whether the request may safely run twice.
+    is_repeatable: bool,
 }
 
-/// Takes a whole request to a target and gives the whole answer, or says why there is none.
+/// Sends a complete request to a target and returns the complete answer, or a problem that states
+/// why there is none.
 pub async fn dispatch(context: &Arc<Context>, request: WholeRequest) -> Response {
-    let arrived = context.clock.now();
+    let received_at = context.clock.now();
     let snapshot = context.snapshot();
-    let operation = match operation(&request) {
+    let operation = match parse_operation(&request) {
         Ok(operation) => operation,
         Err(problem) => return problem.into_response(),
     };
     let method = request.method.clone();
-    let keyed = operation.is_some();
-    let owned = Arc::clone(context);
-    let executing = async move {
-        let job = plan(&owned, &snapshot, request, arrived, keyed)?;
-        attempt_until_answered(&job).await
+    let has_key = operation.is_some();
+    let shared_context = Arc::clone(context);
+    let execution = async move {
+        let planned = plan_request(&shared_context, &snapshot, request, received_at, has_key)?;
+        run_attempts(&planned).await
     };
     match operation {
-        Some(operation) => run_once(context, operation, method, executing).await,
-        None => respond(executing.await, &method),
+        Some(operation) => run_once(context, operation, method, execution).await,
+        None => respond(execution.await, &method),
     }
 }
 
-/// The answer to a caller for an executed request.
-pub fn respond(executed: Executed, method: &Method) -> Response {
-    match executed {
+/// Returns the response to a caller for an executed request.
+pub fn respond(result: ExecutionResult, method: &Method) -> Response {
+    match result {
         Ok(answer) => answer.into_response(method),
         Err(problem) => problem.into_response(),
     }
 }
 
-fn plan(
+fn plan_request(
     context: &Arc<Context>,
     snapshot: &Snapshot,
     request: WholeRequest,
-    arrived: Mono,
-    keyed: bool,
-) -> Result<Job, Problem> {
+    received_at: Mono,
+    has_key: bool,
+) -> Result<PlannedRequest, Problem> {
     if !snapshot.ready {
         return Err(not_run(StatusCode::SERVICE_UNAVAILABLE, "no rule list is in force yet"));
     }
     let service = snapshot.services.get(&request.service).ok_or_else(unknown_service)?;
-    let outcome = decide(service, &request)?;
+    let outcome = apply_rules(service, &request)?;
     if let Some(refusal) = &outcome.refuse {
         let status = StatusCode::from_u16(refusal.status).unwrap_or(StatusCode::FORBIDDEN);
         let problem = not_run(status, "refused by rule");
@@ -86,11 +87,18 @@
             None => problem,
         });
     }
-    let repeatable = !keyed && request.method.is_idempotent();
-    let deadline = arrived.plus(allowed_time(context, &request, &outcome));
+    let is_repeatable = !has_key && request.method.is_idempotent();
+    let deadline = received_at.plus(request_timeout(context, &request, &outcome));
     let service = Arc::clone(service);
     let request = Arc::new(request);
-    Ok(Job { context: Arc::clone(context), service, request, outcome, deadline, repeatable })
+    Ok(PlannedRequest {
+        context: Arc::clone(context),
+        service,
+        request,
+        outcome,
+        deadline,
+        is_repeatable,
+    })
 }
 
 fn unknown_service() -> Problem {
@@ -101,7 +109,7 @@
     Problem::new(status, Verdict::NotRun).with_detail(detail)
 }
 
-fn decide(service: &Service, request: &WholeRequest) -> Result<Outcome, Problem> {
+fn apply_rules(service: &Service, request: &WholeRequest) -> Result<Outcome, Problem> {
     let Some(rules) = &service.rules else {
         return Err(not_run(StatusCode::SERVICE_UNAVAILABLE, "no rule list is in force yet"));
     };
@@ -115,53 +123,57 @@
     Ok(rules.list.decide(&request_context, &mut load_hysteresis).outcome.clone())
 }
 
-/// The caller's own deadline, else the rule's, else the settings'; never above the settings' most.
-fn allowed_time(context: &Context, request: &WholeRequest, outcome: &Outcome) -> Duration {
+/// Returns the timeout of a request: that of the caller, else that of the rule, else the default of
+/// the settings; at most the maximum of the settings.
+fn request_timeout(context: &Context, request: &WholeRequest, outcome: &Outcome) -> Duration {
     let callers = &context.settings.callers;
-    let asked = request.control.deadline.or(outcome.deadline).unwrap_or(callers.deadline_default);
-    asked.min(callers.deadline_max)
+    let requested =
+        request.control.deadline.or(outcome.deadline).unwrap_or(callers.deadline_default);
+    requested.min(callers.deadline_max)
 }
 
-async fn attempt_until_answered(job: &Job) -> Executed {
-    let mut tried: BTreeSet<TargetId> = BTreeSet::new();
-    let mut last: Option<Unserved> = None;
+async fn run_attempts(planned: &PlannedRequest) -> ExecutionResult {
+    let mut tried_targets: BTreeSet<TargetId> = BTreeSet::new();
+    let mut last: Option<FailedAttempt> = None;
     let mut may_have_run = false;
     let mut attempts = 0;
     loop {
-        let ask = ask(job, &tried);
-        let place = match last {
-            None => job.service.pool.admit(ask).await,
-            Some(_) => job.service.pool.retry(ask).await,
+        let pool_request = pool_request(planned, &tried_targets);
+        let admission = match last {
+            None => planned.service.pool.admit(pool_request).await,
+            Some(_) => planned.service.pool.retry(pool_request).await,
         };
-        let assigned = match (place, last) {
+        let assigned = match (admission, last) {
             (Ok(assigned), _) => assigned,
             (Err(shed), None) => return Err(shed_problem(shed)),
-            (Err(_), Some(unserved)) => return unserved.into_executed(may_have_run),
+            (Err(_), Some(failed_attempt)) => return failed_attempt.into_result(may_have_run),
         };
-        tried.insert(assigned.target().clone());
-        let unserved = match attempt_hedged(job, assigned, &mut tried).await {
+        tried_targets.insert(assigned.target().clone());
+        let failed_attempt = match run_hedged_attempt(planned, assigned, &mut tried_targets).await {
             Ok(answer) => return Ok(answer),
-            Err(unserved) => unserved,
+            Err(failed_attempt) => failed_attempt,
         };
-        may_have_run |= unserved.verdict() != Verdict::NotRun;
+        may_have_run |= failed_attempt.verdict() != Verdict::NotRun;
         attempts += 1;
-        if attempts > job.outcome.retries || !may_repeat(job, &unserved) {
-            return unserved.into_executed(may_have_run);
+        if attempts > planned.outcome.retries || !may_retry(planned, &failed_attempt) {
+            return failed_attempt.into_result(may_have_run);
         }
-        last = Some(unserved);
+        last = Some(failed_attempt);
     }
 }
 
-/// A request that may have run is only sent again when a second run does no harm.
-fn may_repeat(job: &Job, unserved: &Unserved) -> bool {
-    unserved.may_pass() && (job.repeatable || unserved.verdict() == Verdict::NotRun)
+/// Returns whether a request may be sent again; one that may have run only if it may safely run
+/// twice.
+fn may_retry(planned: &PlannedRequest, failed_attempt: &FailedAttempt) -> bool {
+    failed_attempt.is_retryable()
+        && (planned.is_repeatable || failed_attempt.verdict() == Verdict::NotRun)
 }
 
-fn ask(job: &Job, tried: &BTreeSet<TargetId>) -> PoolRequest {
-    PoolRequest::new(job.deadline)
-        .with_priority(priority(job.outcome.priority))
-        .with_preferred_domains(job.outcome.prefer.clone())
-        .with_exclude(tried.iter().cloned().collect())
+fn pool_request(planned: &PlannedRequest, tried_targets: &BTreeSet<TargetId>) -> PoolRequest {
+    PoolRequest::new(planned.deadline)
+        .with_priority(priority(planned.outcome.priority))
+        .with_preferred_domains(planned.outcome.prefer.clone())
+        .with_exclude(tried_targets.iter().cloned().collect())
 }
 
 fn priority(priority: RulePriority) -> Priority {
@@ -172,66 +184,81 @@
     })
 }
 
-/// Sends the request, and once more to another target when the first one is slow.
+/// Sends the request, and a hedge to another target if the first one is slow.
 ///
-/// The first whole answer wins; dropping the other attempt closes its connection.
-async fn attempt_hedged(
-    job: &Job,
-    assigned: Assigned,
-    tried: &mut BTreeSet<TargetId>,
-) -> Result<WholeAnswer, Unserved> {
-    let name = assigned.attempt();
-    let first = pin!(attempt(job, assigned));
-    let Some(delay) = hedge_delay(job) else { return first.await };
+/// The first complete answer wins; dropping the other attempt closes its connection.
+async fn run_hedged_attempt(
+    planned: &PlannedRequest,
+    assigned: AssignedAttempt,
+    tried_targets: &mut BTreeSet<TargetId>,
+) -> Result<WholeAnswer, FailedAttempt> {
+    let first_attempt = assigned.attempt();
+    let first = pin!(run_attempt(planned, assigned));
+    let Some(delay) = hedge_delay(planned) else { return first.await };
     let first = match select(first, pin!(tokio::time::sleep(delay))).await {
         Either::Left((result, _)) => return result,
         Either::Right(((), first)) => first,
     };
-    let Some(second) = job.service.pool.hedge(name, ask(job, tried)) else { return first.await };
-    tried.insert(second.target().clone());
-    match select(first, pin!(attempt(job, second))).await {
+    let Some(second) =
+        planned.service.pool.assign_hedge(first_attempt, pool_request(planned, tried_targets))
+    else {
+        return first.await;
+    };
+    tried_targets.insert(second.target().clone());
+    match select(first, pin!(run_attempt(planned, second))).await {
         Either::Left((Ok(answer), _)) | Either::Right((Ok(answer), _)) => Ok(answer),
-        Either::Left((Err(failure), other)) => other.await.map_err(|last| worse(failure, last)),
-        Either::Right((Err(failure), other)) => other.await.map_err(|last| worse(failure, last)),
+        Either::Left((Err(failure), other)) => {
+            other.await.map_err(|last| select_failure(failure, last))
+        }
+        Either::Right((Err(failure), other)) => {
+            other.await.map_err(|last| select_failure(failure, last))
+        }
     }
 }
 
-/// Of two failed attempts, the one that says more: `not-run` holds only when both prove it.
-fn worse(first: Unserved, second: Unserved) -> Unserved {
+/// Selects the failed attempt of two to report: `not-run` is reported only if both prove it.
+fn select_failure(first: FailedAttempt, second: FailedAttempt) -> FailedAttempt {
     if second.verdict() == Verdict::NotRun { first } else { second }
 }
 
-/// When to send a second attempt; only for requests that may run twice, where a rule allows it.
-fn hedge_delay(job: &Job) -> Option<Duration> {
-    let allowed = job.repeatable && job.outcome.hedge;
-    allowed.then(|| job.service.pool.hedge_delay()).flatten()
+/// Returns the delay before a hedge; `None` unless the request may safely run twice and a rule
+/// allows hedges.
+fn hedge_delay(planned: &PlannedRequest) -> Option<Duration> {
+    let allowed = planned.is_repeatable && planned.outcome.hedge;
+    allowed.then(|| planned.service.pool.hedge_delay()).flatten()
 }
 
-async fn attempt(job: &Job, assigned: Assigned) -> Result<WholeAnswer, Unserved> {
-    let Some(target) = job.service.targets.by_id.get(assigned.target()) else {
-        // The list changed between choice and sending: the target is gone from this snapshot.
-        let gone = TargetAddress::new(job.context.identity.callers);
-        let attempt = Attempt::new(gone, Arc::clone(&job.request), job.deadline);
-        return Err(Unserved::Failed(attempt.not_run(FailureCause::ConnectFailed)));
+async fn run_attempt(
+    planned: &PlannedRequest,
+    assigned: AssignedAttempt,
+) -> Result<WholeAnswer, FailedAttempt> {
+    let Some(target) = planned.service.targets.by_id.get(assigned.target()) else {
+        // The list changed after the target was selected: the target is not in this snapshot.
+        let placeholder = TargetAddress::new(planned.context.identity.callers);
+        let attempt = Attempt::new(placeholder, Arc::clone(&planned.request), planned.deadline);
+        return Err(FailedAttempt::NoAnswer(attempt.not_run(FailureCause::ConnectFailed)));
     };
-    let attempt = Attempt::new(address(target), Arc::clone(&job.request), job.deadline);
-    let sent_at = job.context.clock.now();
-    let result = job.context.exchange.send(attempt).await;
-    let latency = job.context.clock.now().since(sent_at);
+    let attempt =
+        Attempt::new(target_address(target), Arc::clone(&planned.request), planned.deadline);
+    let sent_at = planned.context.clock.now();
+    let result = planned.context.exchange.send(attempt).await;
+    let latency = planned.context.clock.now().since(sent_at);
     let report = result.as_ref().ok().and_then(load_report);
     assigned.finish(attempt_outcome(&result, latency), report);
     match result {
-        Ok(answer) if job.repeatable && is_trouble(&answer) => Err(Unserved::Error(answer)),
-        other => other.map_err(Unserved::Failed),
+        Ok(answer) if planned.is_repeatable && is_target_error(&answer) => {
+            Err(FailedAttempt::ErrorAnswer(answer))
+        }
+        other => other.map_err(FailedAttempt::NoAnswer),
     }
 }
 
-fn address(target: &TargetInfo) -> TargetAddress {
+fn target_address(target: &TargetInfo) -> TargetAddress {
     let shed = target.shed_status.and_then(|status| StatusCode::from_u16(status).ok());
     TargetAddress::new(target.endpoint).with_http2(target.http2).with_shed_status(shed)
 }
 
-/// The load report that a target sent with its answer; one that can't be read counts as none.
+/// Returns the load report that a target sent with its answer; `None` if missing or invalid.
 pub fn load_report(answer: &WholeAnswer) -> Option<LoadReport> {
     let text = answer.headers.get(LOAD_REPORT_HEADER)?.to_str().ok()?;
     LoadReport::from_header(text).ok()
--- a/crates/shallotd/src/traffic/entries.rs
+++ b/crates/shallotd/src/traffic/entries.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/entries`: which entries a caller should use for a service.
+//! `GET /v1/entries`: the entries advertised to a caller for a service.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 
 use crate::context::Context;
 
-const PATH: &str = "/v1/entries";
+const ENTRIES_PATH: &str = "/v1/entries";
 
-/// When a caller may ask a starting entry again.
-const STARTING_RETRY: Duration = Duration::from_millis(500);
+/// Time after which a caller may retry at a starting entry.
+const STARTING_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Deserialize)]
 struct Query {
@@ -44,41 +44,44 @@
     }
 }
 
-/// Answers a request for the system itself.
-pub async fn entries(context: &Context, request: &Request) -> Response {
-    if request.uri().path() != PATH {
-        return refuse(StatusCode::NOT_FOUND, "the only path of the system itself is /v1/entries");
+/// Handles a request for the system itself.
+pub async fn handle_entries(context: &Context, request: &Request) -> Response {
+    if request.uri().path() != ENTRIES_PATH {
+        return problem_response(
+            StatusCode::NOT_FOUND,
+            "the only path of the system itself is /v1/entries",
+        );
     }
     if request.method() != Method::GET {
-        return refuse(StatusCode::METHOD_NOT_ALLOWED, "only GET is answered here");
+        return problem_response(StatusCode::METHOD_NOT_ALLOWED, "only GET is answered here");
     }
     let query: Query = match request.params() {
         Ok(query) => query,
-        Err(error) => return refuse(StatusCode::BAD_REQUEST, &error.to_string()),
+        Err(error) => return problem_response(StatusCode::BAD_REQUEST, &error.to_string()),
     };
-    answer(context, query).await
+    list_entries(context, query).await
 }
 
-async fn answer(context: &Context, query: Query) -> Response {
+async fn list_entries(context: &Context, query: Query) -> Response {
     let snapshot = context.snapshot();
     if !snapshot.ready {
-        let starting = Problem::new(StatusCode::SERVICE_UNAVAILABLE, Verdict::NotRun);
-        let starting = starting.with_detail("starting: no rule list is in force yet");
-        return starting.with_retry_after(STARTING_RETRY).into_response();
+        let problem = Problem::new(StatusCode::SERVICE_UNAVAILABLE, Verdict::NotRun);
+        let problem = problem.with_detail("starting: no rule list is in force yet");
+        return problem.with_retry_after(STARTING_RETRY_AFTER).into_response();
     }
     let Some(service) = snapshot.services.get(&query.service) else {
-        return refuse(StatusCode::NOT_FOUND, "no such service is published");
+        return problem_response(StatusCode::NOT_FOUND, "no such service is published");
     };
     let preference = CallerPreference {
         failure_domain: query.failure_domain,
         rotation: Context::next_value(&context.entry_rotation),
     };
-    let found = rank_for_caller(&service.serving_entries, &preference);
+    let ranked = rank_for_caller(&service.serving_entries, &preference);
     let session = context.control.issue().await;
     let callers = &context.settings.callers;
     let answer = Answer {
         service: query.service,
-        entries: found.into_iter().map(Entry::from).collect(),
+        entries: ranked.into_iter().map(Entry::from).collect(),
         keep_for_ms: millis(callers.keep_for),
         session: session.map(|session| session.to_string()),
         session_lifetime_ms: millis(context.settings.once.session_lifetime),
@@ -90,6 +93,6 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn refuse(status: StatusCode, detail: &str) -> Response {
+fn problem_response(status: StatusCode, detail: &str) -> Response {
     Problem::new(status, Verdict::NotRun).with_detail(detail).into_response()
 }
--- a/crates/shallotd/src/traffic/in_flight.rs
+++ b/crates/shallotd/src/traffic/in_flight.rs
@@ -1,4 +1,4 @@
-//! Counts the requests in flight, so that a planned stop can wait for them.
+//! Counter of requests in flight, which a planned stop waits for.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,32 +11,32 @@
     drained: Notify,
 }
 
-/// The number of requests that this process is working on.
+/// Number of requests in flight in this process.
 #[derive(Debug, Clone, Default)]
 pub struct InFlight {
     counter: Arc<Counter>,
 }
 
-/// Counts one request for as long as it lives.
+/// Guard that counts one request until it is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard {
     counter: Arc<Counter>,
 }
 
 impl InFlight {
-    /// Counts one more request.
+    /// Adds one request until the guard is dropped.
     pub fn enter(&self) -> InFlightGuard {
         self.counter.requests.fetch_add(1, Ordering::SeqCst);
         InFlightGuard { counter: Arc::clone(&self.counter) }
     }
 
-    /// Requests in flight now.
+    /// Returns the number of requests in flight.
     pub fn requests(&self) -> usize {
         self.counter.requests.load(Ordering::SeqCst)
     }
 
     /// Waits until no request is in flight.
-    pub async fn drained(&self) {
+    pub async fn wait_until_drained(&self) {
         loop {
             let drained = self.counter.drained.notified();
             if self.requests() == 0 {
--- a/crates/shallotd/src/traffic/mod.rs
+++ b/crates/shallotd/src/traffic/mod.rs
@@ -1,17 +1,17 @@
-//! Requests of callers, on the traffic threads.
+//! Handling of requests of callers on the traffic threads.
 
+mod answer_metrics;
+mod caller_requests;
 mod connection_gate;
-mod counted;
 mod dispatch;
 mod entries;
-mod front;
+mod failed_attempt;
 mod in_flight;
 mod operation;
 mod service_pool;
-mod unserved;
 
+pub use caller_requests::handle_request;
 pub use connection_gate::{GateTarget, TargetGate};
 pub use dispatch::load_report;
-pub use front::front;
 pub use in_flight::InFlight;
 pub use service_pool::ServicePool;
--- a/crates/shallotd/src/traffic/operation.rs
+++ b/crates/shallotd/src/traffic/operation.rs
@@ -1,4 +1,4 @@
-//! Non-idempotent operations named by session and key: claim, run, report the end.
+//! Non-idempotent operations, identified by session and key: claim, run, report the completion.
 
 use std::future::Future;
 use std::pin::pin;
@@ -22,73 +22,76 @@
 use crate::control::Decision;
 use crate::traffic::dispatch::respond;
 
-/// The end of an execution: a whole answer, or the problem to report.
-pub type Executed = Result<WholeAnswer, Problem>;
+/// Result of an execution: a complete answer, or the problem to report.
+pub type ExecutionResult = Result<WholeAnswer, Problem>;
 
-/// The operation that a request names.
+/// Returns the operation that a request names, if it names one.
 ///
 /// # Errors
-/// When there is a session without a key, a key without a session, or the session is no session.
-pub fn operation(request: &WholeRequest) -> Result<Option<OperationId>, Problem> {
+/// Returns a problem if there is a session without a key, a key without a session, or the session
+/// is malformed.
+pub fn parse_operation(request: &WholeRequest) -> Result<Option<OperationId>, Problem> {
     let control = &request.control;
     match (&control.session, &control.key) {
         (None, None) => Ok(None),
         (Some(session), Some(key)) => {
-            let session: Session = session.parse().map_err(|_| bad("the session is malformed"))?;
+            let session: Session =
+                session.parse().map_err(|_| bad_request("the session is malformed"))?;
             Ok(Some(OperationId::new(session, key.clone())))
         }
-        (None, Some(_)) => Err(bad("Idempotency-Key needs a Shallotfork-Session")),
-        (Some(_), None) => Err(bad("Shallotfork-Session needs an Idempotency-Key")),
+        (None, Some(_)) => Err(bad_request("Idempotency-Key needs a Shallotfork-Session")),
+        (Some(_), None) => Err(bad_request("Shallotfork-Session needs an Idempotency-Key")),
     }
 }
 
-fn bad(detail: &str) -> Problem {
+fn bad_request(detail: &str) -> Problem {
     Problem::new(StatusCode::BAD_REQUEST, Verdict::NotRun).with_detail(detail)
 }
 
-/// Runs an operation if its issuer grants it, and tells the issuer how it ended.
+/// Runs an operation if its issuer grants the claim, and reports the completion to the issuer.
 ///
-/// The work is a task of its own, so that it goes on when the caller hangs up: a request whose
-/// bytes may be at a target must be reported, or its key would stay in progress until the session
-/// ends.
+/// The operation runs in a separate task, which continues when the caller disconnects: the
+/// completion of a request that may have reached a target must be reported, or its key would stay
+/// in progress until the session ends.
 pub async fn run_once(
     context: &Arc<Context>,
     operation: OperationId,
     method: Method,
-    executing: impl Future<Output = Executed> + Send + 'static,
+    execution: impl Future<Output = ExecutionResult> + Send + 'static,
 ) -> Response {
     let (reply, response) = oneshot::channel();
-    tokio::spawn(run_claimed(Arc::clone(context), operation, method, executing, reply));
+    tokio::spawn(claim_and_run(Arc::clone(context), operation, method, execution, reply));
     response.await.unwrap_or_else(|_| {
         Problem::new(StatusCode::INTERNAL_SERVER_ERROR, Verdict::MayHaveRun).into_response()
     })
 }
 
-/// The caller is answered once the end is recorded, so that its repeats get the kept answer; when
-/// the issuer is slow to record it, the caller does not wait for that any longer.
-async fn run_claimed(
+/// Claims and runs an operation. The caller is answered once the issuer has recorded the
+/// completion, so that repeated requests get the kept answer, or after a timeout if the issuer is
+/// slow.
+async fn claim_and_run(
     context: Arc<Context>,
     operation: OperationId,
     method: Method,
-    executing: impl Future<Output = Executed> + Send,
+    execution: impl Future<Output = ExecutionResult> + Send,
     reply: oneshot::Sender<Response>,
 ) {
     let _in_flight = context.in_flight.enter();
     let claim = next_claim(&context);
     match context.control.claim(&operation, &claim).await {
         Decision::Answered(ClaimAnswer::Granted) => {}
-        refused => {
-            let _hung_up = reply.send(answer_refused(refused, &method));
+        denied => {
+            let _disconnected = reply.send(denied_claim_response(denied, &method));
             return;
         }
     }
-    let executed = executing.await;
-    let completion = completion(&executed);
-    let wait = if completion == Completion::NotRun { NOT_RUN_WAIT } else { RECORD_WAIT };
+    let result = execution.await;
+    let completion = completion(&result);
+    let timeout = if completion == Completion::NotRun { NOT_RUN_TIMEOUT } else { RECORD_TIMEOUT };
     let mut recording = pin!(context.control.complete(&operation, &claim, completion));
-    let recorded = tokio::time::timeout(wait, &mut recording).await;
-    let executed = confirmed(executed, recorded == Ok(true));
-    let _hung_up = reply.send(respond(executed, &method));
+    let recorded = tokio::time::timeout(timeout, &mut recording).await;
+    let result = require_confirmation(result, recorded == Ok(true));
+    let _disconnected = reply.send(respond(result, &method));
     if recorded.is_err() {
         recording.await;
     }
@@ -100,11 +103,11 @@
     ClaimId::new(identity.vm.clone(), identity.incarnation, number)
 }
 
-/// The answer to a request that was refused before it was claimed.
+/// Returns the problem for a request that was rejected before its operation was claimed.
 ///
-/// Another copy of a keyed request may reach another entry: `not-run` is said only once the
-/// operation is closed.
-pub async fn refuse(
+/// Another copy of a request with a key may reach another entry: `not-run` is reported only once
+/// the operation is closed.
+pub async fn reject(
     context: &Context,
     operation: Option<OperationId>,
     problem: Problem,
@@ -112,7 +115,7 @@
     let Some(operation) = operation else { return problem };
     let claim = next_claim(context);
     let closing = context.control.close(&operation, &claim);
-    let closed = tokio::time::timeout(NOT_RUN_WAIT, closing).await;
+    let closed = tokio::time::timeout(NOT_RUN_TIMEOUT, closing).await;
     let verdict = match closed {
         Ok(Decision::Answered(answer)) => answer.verdict(),
         _ => None,
@@ -124,16 +127,16 @@
     }
 }
 
-/// The operation that the headers of a request name, if they name one.
-pub fn named_operation(headers: &HeaderMap) -> Option<OperationId> {
+/// Returns the operation that the headers of a request name, if they name one.
+pub fn parse_operation_headers(headers: &HeaderMap) -> Option<OperationId> {
     let key = headers.get(KEY_HEADER)?.to_str().ok()?.parse().ok()?;
     let session = headers.get(SESSION_HEADER)?.to_str().ok()?.parse().ok()?;
     Some(OperationId::new(session, key))
 }
 
-fn completion(executed: &Executed) -> Completion {
-    match executed {
-        Ok(answer) => Completion::Ran(Arc::new(kept(answer))),
+fn completion(result: &ExecutionResult) -> Completion {
+    match result {
+        Ok(answer) => Completion::Ran(Arc::new(to_kept_answer(answer))),
         Err(problem) => match problem.verdict() {
             Verdict::NotRun => Completion::NotRun,
             Verdict::MayHaveRun => Completion::MayHaveRun,
@@ -142,10 +145,10 @@
     }
 }
 
-/// `not-run` is said only once the issuer has recorded that the key never runs: another copy of
-/// the request, held up in a paused entry, could be granted otherwise.
-fn confirmed(executed: Executed, recorded: bool) -> Executed {
-    match executed {
+/// Reports `not-run` only if the issuer has recorded that the key never runs: otherwise another
+/// copy of the request, delayed in a paused entry, could still be granted.
+fn require_confirmation(result: ExecutionResult, recorded: bool) -> ExecutionResult {
+    match result {
         Err(problem) if problem.verdict() == Verdict::NotRun && !recorded => {
             Err(Problem::new(problem.status(), Verdict::MayHaveRun)
                 .with_detail("the issuer of the session did not confirm that nothing ran"))
@@ -154,7 +157,7 @@
     }
 }
 
-fn kept(answer: &WholeAnswer) -> KeptAnswer {
+fn to_kept_answer(answer: &WholeAnswer) -> KeptAnswer {
     let field = |(name, value): (&HeaderName, &HeaderValue)| HeaderField {
         name: name.to_string(),
         value: value.as_bytes().to_vec(),
@@ -166,7 +169,7 @@
     }
 }
 
-fn whole(kept: &KeptAnswer) -> WholeAnswer {
+fn from_kept_answer(kept: &KeptAnswer) -> WholeAnswer {
     let mut headers = HeaderMap::new();
     for field in &kept.headers {
         let name = HeaderName::from_bytes(field.name.as_bytes());
@@ -182,26 +185,25 @@
     }
 }
 
-fn answer_refused(decision: Decision, method: &Method) -> Response {
+fn denied_claim_response(decision: Decision, method: &Method) -> Response {
     let Decision::Answered(answer) = decision else {
         return Problem::new(StatusCode::SERVICE_UNAVAILABLE, Verdict::MayHaveRun)
             .with_detail("the entry that issued the session cannot be reached")
-            .with_retry_after(UNREACHABLE_RETRY)
+            .with_retry_after(UNREACHABLE_RETRY_AFTER)
             .into_response();
     };
     let verdict = answer.verdict().unwrap_or(Verdict::MayHaveRun);
     let problem = |status, detail| Problem::new(status, verdict).with_detail(detail);
     let problem = match answer {
         ClaimAnswer::Kept(kept) => {
-            let mut response = whole(&kept).into_replayed_response(method);
+            let mut response = from_kept_answer(&kept).into_replayed_response(method);
             let ran = HeaderValue::from_static(Verdict::Ran.as_str());
             response.headers_mut().insert(VERDICT_HEADER, ran);
             return response;
         }
         ClaimAnswer::Ran => problem(StatusCode::CONFLICT, "it ran; its answer was not kept"),
-        ClaimAnswer::InProgress => {
-            problem(StatusCode::CONFLICT, "it is in progress").with_retry_after(IN_PROGRESS_RETRY)
-        }
+        ClaimAnswer::InProgress => problem(StatusCode::CONFLICT, "it is in progress")
+            .with_retry_after(IN_PROGRESS_RETRY_AFTER),
         ClaimAnswer::NotRun => {
             problem(StatusCode::CONFLICT, "it was not run and never will be under this key")
         }
@@ -217,14 +219,14 @@
     problem.into_response()
 }
 
-/// When a caller may ask again for an operation in progress.
-const IN_PROGRESS_RETRY: Duration = Duration::from_millis(500);
+/// Time after which a caller may retry an operation in progress.
+const IN_PROGRESS_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// When a caller may ask again whose session's issuer cannot be reached.
-const UNREACHABLE_RETRY: Duration = Duration::from_secs(1);
+/// Time after which a caller may retry if the issuer of its session cannot be reached.
+const UNREACHABLE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Longest wait of a caller for its answer to be recorded.
-const RECORD_WAIT: Duration = Duration::from_millis(50);
+/// Maximum time that a caller waits for its answer to be recorded.
+const RECORD_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Longest wait of a caller for the proof that nothing ran, which spares it a look-up.
-const NOT_RUN_WAIT: Duration = Duration::from_millis(500);
+/// Maximum time that a caller waits for the proof that nothing ran, which saves it a look-up.
+const NOT_RUN_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/shallotd/src/traffic/service_pool.rs
+++ b/crates/shallotd/src/traffic/service_pool.rs
@@ -1,4 +1,4 @@
-//! The pool of one service, shared by the traffic threads.
+//! Pool of one service, shared by the traffic threads.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,67 +14,67 @@
 use shallotfork_types::{Mono, Permille, TargetId};
 use tokio::sync::oneshot;
 
-/// Shortest wait between two looks at the queue's deadlines.
-const EXPIRY_STEP: Duration = Duration::from_millis(1);
+/// Minimum delay between two checks of the queue's deadlines.
+const MIN_EXPIRY_DELAY: Duration = Duration::from_millis(1);
 
-type Place = Result<Assigned, Shed>;
+type AdmissionResult = Result<AssignedAttempt, Shed>;
 
 struct Inner {
     pool: Pool,
-    waiting: HashMap<Ticket, oneshot::Sender<Place>>,
+    waiting: HashMap<Ticket, oneshot::Sender<AdmissionResult>>,
 }
 
-/// Wraps the pure pool in a lock and wakes the requests that wait in it.
+/// Wraps a pool in a lock and notifies the requests queued in it.
 pub struct ServicePool {
     clock: Clock,
-    /// Whether an attempt ended since `take_attempt_ended`.
-    touched: AtomicBool,
+    /// Whether an attempt has ended since the last call of `take_attempt_ended`.
+    attempt_ended: AtomicBool,
     inner: Mutex<Inner>,
 }
 
-/// Leave to send one attempt; gives the place back when dropped.
+/// Permit to send one attempt; releases the slot when dropped.
 ///
-/// A caller that hangs up drops its request anywhere; without the drop the target's slot would
-/// count as taken for ever.
-pub struct Assigned {
+/// A request whose caller disconnects is dropped at any point of its processing; without the
+/// release the target's slot would count as used forever.
+pub struct AssignedAttempt {
     pool: Arc<ServicePool>,
     assignment: Assignment,
-    ended: bool,
+    is_finished: bool,
 }
 
-impl Assigned {
-    /// Where to send the attempt.
+impl AssignedAttempt {
+    /// Returns the target that the attempt is sent to.
     pub fn target(&self) -> &TargetId {
         &self.assignment.target
     }
 
-    /// The attempt's name within the pool.
+    /// Returns the identifier of the attempt within the pool.
     pub fn attempt(&self) -> AttemptId {
         self.assignment.attempt
     }
 
-    /// Reports how the attempt ended, with the load that the target reported in its answer.
+    /// Reports the outcome of the attempt, with the load that the target reported in its answer.
     pub fn finish(mut self, outcome: AttemptOutcome, report: Option<LoadReport>) {
-        self.ended = true;
+        self.is_finished = true;
         self.pool.finish(&self.assignment, outcome, report);
     }
 }
 
-impl Drop for Assigned {
+impl Drop for AssignedAttempt {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.is_finished {
             self.pool.finish(&self.assignment, AttemptOutcome::Cancelled, None);
         }
     }
 }
 
-/// Takes a request out of the queue when its caller hangs up.
-struct Waiting<'a> {
+/// Guard that removes a request from the queue when its caller disconnects.
+struct QueueGuard<'a> {
     pool: &'a ServicePool,
     ticket: Ticket,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         let mut inner = self.pool.lock();
         if inner.waiting.remove(&self.ticket).is_some() {
@@ -84,133 +84,141 @@
 }
 
 impl ServicePool {
-    /// A pool without targets.
+    /// Creates a pool without targets.
     pub fn new(config: PoolConfig, seed: u64, clock: Clock) -> Arc<Self> {
         let inner = Inner { pool: Pool::new(config, seed), waiting: HashMap::new() };
-        Arc::new(Self { clock, touched: AtomicBool::new(false), inner: Mutex::new(inner) })
+        Arc::new(Self { clock, attempt_ended: AtomicBool::new(false), inner: Mutex::new(inner) })
     }
 
-    /// A place for a request that was not sent before; waits in the queue when needed.
+    /// Admits a request that was not sent before; waits in the queue if necessary.
     ///
     /// # Errors
-    /// The refusal, with the time after which the caller may come back.
-    pub async fn admit(self: &Arc<Self>, ask: PoolRequest) -> Place {
+    /// Returns the rejection, with the time after which the caller may retry.
+    pub async fn admit(self: &Arc<Self>, request: PoolRequest) -> AdmissionResult {
         let now = self.clock.now();
-        let (admission, receiver) = self.lock().place(|pool| pool.admit(ask, now));
-        self.settle(admission, receiver).await
+        let (admission, receiver) = self.lock().admit_or_enqueue(|pool| pool.admit(request, now));
+        self.await_admission(admission, receiver).await
     }
 
-    /// A place for a request whose attempt failed and may be sent again.
+    /// Admits a request whose attempt failed and may be sent again.
     ///
     /// # Errors
-    /// As for `admit`, also when the retry budget is used up.
-    pub async fn retry(self: &Arc<Self>, ask: PoolRequest) -> Place {
+    /// Fails in the same cases as `admit`, and if the retry budget is used up.
+    pub async fn retry(self: &Arc<Self>, request: PoolRequest) -> AdmissionResult {
         let now = self.clock.now();
-        let (admission, receiver) = self.lock().place(|pool| pool.retry(ask, now));
-        self.settle(admission, receiver).await
+        let (admission, receiver) = self.lock().admit_or_enqueue(|pool| pool.retry(request, now));
+        self.await_admission(admission, receiver).await
     }
 
-    /// A second target for a request in flight, if the hedge budget allows one now.
-    pub fn hedge(self: &Arc<Self>, first: AttemptId, ask: PoolRequest) -> Option<Assigned> {
+    /// Assigns a hedge to a request in flight, if the hedge budget allows one now.
+    pub fn assign_hedge(
+        self: &Arc<Self>,
+        first: AttemptId,
+        request: PoolRequest,
+    ) -> Option<AssignedAttempt> {
         let now = self.clock.now();
-        let assignment = self.lock().pool.hedge(first, ask, now)?;
-        Some(self.assigned(assignment))
+        let assignment = self.lock().pool.hedge(first, request, now)?;
+        Some(self.assign(assignment))
     }
 
-    /// Takes the published targets.
+    /// Replaces the targets by the published ones.
     pub fn set_targets(self: &Arc<Self>, targets: &[PoolTarget]) {
         let now = self.clock.now();
-        let woken = self.lock().pool.set_targets(targets, now);
-        self.deliver(woken);
+        let resolved = self.lock().pool.set_targets(targets, now);
+        self.notify_resolved(resolved);
     }
 
-    /// Ends the requests that have waited too long.
+    /// Rejects the requests that were queued for too long.
     fn expire(self: &Arc<Self>) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        if inner.pool.next_expiry().is_none_or(|due| due > now) {
+        if inner.pool.next_expiry().is_none_or(|expires_at| expires_at > now) {
             return;
         }
-        let woken = inner.pool.expire(now);
+        let resolved = inner.pool.expire(now);
         drop(inner);
-        self.deliver(woken);
+        self.notify_resolved(resolved);
     }
 
-    /// Takes a target's account of its load that came with a probe's answer.
+    /// Records the load that a target reported in the answer to a probe.
     pub fn record_load(&self, target: &TargetId, report: LoadReport) {
         let now = self.clock.now();
         self.lock().pool.report(target, report, now);
     }
 
-    /// Share of the service's slots in use; `None` when unknown.
+    /// Returns the share of the service's slots in use; `None` if unknown.
     pub fn load(&self) -> Option<Permille> {
         let now = self.clock.now();
         self.lock().pool.load(now)
     }
 
-    /// Usual time after which an idempotent request is worth a second attempt.
+    /// Returns the delay after which a hedge of an idempotent request is worthwhile.
     pub fn hedge_delay(&self) -> Option<Duration> {
         self.lock().pool.hedge_delay()
     }
 
-    /// Whether an attempt ended since the last call, so that there is news of a target.
+    /// Returns whether an attempt has ended since the last call, so that the state of a target may
+    /// have changed.
     pub fn take_attempt_ended(&self) -> bool {
-        self.touched.swap(false, Ordering::Relaxed)
+        self.attempt_ended.swap(false, Ordering::Relaxed)
     }
 
-    /// What was asked for so far.
+    /// Returns the counts of requests and attempts so far.
     pub fn counts(&self) -> PoolCounts {
         self.lock().pool.counts()
     }
 
-    /// What is thought of each target.
+    /// Returns the state of each target.
     pub fn status(&self) -> Vec<TargetStatus> {
         let now = self.clock.now();
         self.lock().pool.status(now)
     }
 
-    async fn settle(
+    async fn await_admission(
         self: &Arc<Self>,
         admission: Admission,
-        receiver: Option<oneshot::Receiver<Place>>,
-    ) -> Place {
+        receiver: Option<oneshot::Receiver<AdmissionResult>>,
+    ) -> AdmissionResult {
         match (admission, receiver) {
-            (Admission::Send(assignment), _) => Ok(self.assigned(assignment)),
+            (Admission::Send(assignment), _) => Ok(self.assign(assignment)),
             (Admission::Shed(shed), _) => Err(shed),
             (Admission::Queued(ticket), receiver) => {
-                let _waiting = Waiting { pool: self, ticket };
-                self.wait(receiver.expect("a queued request has a receiver")).await
+                let _queue_guard = QueueGuard { pool: self, ticket };
+                self.wait_in_queue(receiver.expect("a queued request has a receiver")).await
             }
         }
     }
 
-    /// Waits for a place. Each waiting request looks after the queue's next deadline itself, so
-    /// that a process without waiting requests does nothing at all.
-    async fn wait(self: &Arc<Self>, mut receiver: oneshot::Receiver<Place>) -> Place {
+    /// Waits in the queue for admission. Each queued request checks the queue's deadlines itself,
+    /// so that a process without queued requests does no work for this.
+    async fn wait_in_queue(
+        self: &Arc<Self>,
+        mut receiver: oneshot::Receiver<AdmissionResult>,
+    ) -> AdmissionResult {
         loop {
             self.expire();
-            let due = self.lock().pool.next_expiry();
+            let expires_at = self.lock().pool.next_expiry();
             tokio::select! {
-                place = &mut receiver => {
-                    return place.expect("every ticket is resolved before its sender is dropped");
+                result = &mut receiver => {
+                    return result.expect("every ticket is resolved before its sender is dropped");
                 }
-                () = self.until(due) => {}
+                () = self.sleep_until(expires_at) => {}
             }
         }
     }
 
-    async fn until(&self, due: Option<Mono>) {
-        match due {
-            Some(due) => {
-                let wait = due.since(self.clock.now()).max(EXPIRY_STEP);
-                tokio::time::sleep(wait).await;
+    async fn sleep_until(&self, expires_at: Option<Mono>) {
+        match expires_at {
+            Some(expires_at) => {
+                let delay = expires_at.since(self.clock.now()).max(MIN_EXPIRY_DELAY);
+                tokio::time::sleep(delay).await;
             }
             None => std::future::pending().await,
         }
     }
 
-    fn assigned(self: &Arc<Self>, assignment: Assignment) -> Assigned {
-        Assigned { pool: Arc::clone(self), assignment, ended: false }
+    fn assign(self: &Arc<Self>, assignment: Assignment) -> AssignedAttempt {
+        AssignedAttempt { pool: Arc::clone(self), assignment, is_finished: false }
     }
 
     fn finish(
@@ -219,25 +227,25 @@
         outcome: AttemptOutcome,
         report: Option<LoadReport>,
     ) {
-        self.touched.store(true, Ordering::Relaxed);
+        self.attempt_ended.store(true, Ordering::Relaxed);
         let now = self.clock.now();
         let mut inner = self.lock();
-        let woken = inner.pool.finish(assignment.attempt, outcome, report, now);
+        let resolved = inner.pool.finish(assignment.attempt, outcome, report, now);
         drop(inner);
-        self.deliver(woken);
+        self.notify_resolved(resolved);
     }
 
-    /// Hands out places with the lock released: a receiver that is gone drops its place, which
-    /// takes the lock again.
-    fn deliver(self: &Arc<Self>, woken: Vec<ResolvedTicket>) {
-        for ResolvedTicket { ticket, resolution } in woken {
-            let place = match resolution {
-                Resolution::Send(assignment) => Ok(self.assigned(assignment)),
+    /// Notifies queued requests with the lock released: if a receiver is gone, the assigned attempt
+    /// is dropped, which takes the lock again.
+    fn notify_resolved(self: &Arc<Self>, resolved: Vec<ResolvedTicket>) {
+        for ResolvedTicket { ticket, resolution } in resolved {
+            let result = match resolution {
+                Resolution::Send(assignment) => Ok(self.assign(assignment)),
                 Resolution::Shed(shed) => Err(shed),
             };
             let sender = self.lock().waiting.remove(&ticket);
             if let Some(sender) = sender {
-                let _gone = sender.send(place);
+                let _disconnected = sender.send(result);
             }
         }
     }
@@ -248,13 +256,13 @@
 }
 
 impl Inner {
-    /// Asks the pool and, for a queued request, makes the channel that wakes it, in one step: the
-    /// ticket could be woken as soon as the lock is released.
-    fn place(
+    /// Admits a request and, if it is queued, creates its notification channel in the same step:
+    /// the ticket may be resolved as soon as the lock is released.
+    fn admit_or_enqueue(
         &mut self,
-        ask: impl FnOnce(&mut Pool) -> Admission,
-    ) -> (Admission, Option<oneshot::Receiver<Place>>) {
-        let admission = ask(&mut self.pool);
+        admit: impl FnOnce(&mut Pool) -> Admission,
+    ) -> (Admission, Option<oneshot::Receiver<AdmissionResult>>) {
+        let admission = admit(&mut self.pool);
         let Admission::Queued(ticket) = admission else {
             return (admission, None);
         };
--- a/crates/shallotd/tests/metrics.rs
+++ b/crates/shallotd/tests/metrics.rs
@@ -1,11 +1,11 @@
-//! The metrics' catalogue and its page.
+//! Compares the metrics catalogue with `docs/metrics.md`.
 
 use shallotd::metrics_catalogue::METRICS;
 
 const PAGE: &str = include_str!("../../../docs/metrics.md");
 
 #[test]
-fn the_page_lists_every_metric_in_order() {
+fn docs_list_every_metric_in_order() {
     let expected: Vec<String> = METRICS
         .iter()
         .map(|metric| format!("| {} | {:?} | {} |", metric.name, metric.kind, metric.help))
