--- a/crates/platform/tests/http_platform.rs
+++ b/crates/platform/tests/http_platform.rs
@@ -73,12 +73,12 @@
         FakeReplica::with_answer("onions".into()).await,
     ];
     for replica in &broken {
-        let good = FakeReplica::with_body("200 OK", CHANGES).await;
-        let platform = platform(config(&[replica, &good]));
+        let healthy = FakeReplica::with_body("200 OK", CHANGES).await;
+        let platform = platform(config(&[replica, &healthy]));
         let error = platform.changes(Revision::NONE, Duration::ZERO).await.unwrap_err();
         assert_eq!((replica.endpoint, 1), (error.replica, replica.request_count()));
         let changes = platform.changes(Revision::NONE, Duration::ZERO).await.unwrap();
-        assert_eq!((good.endpoint, 1), (changes.replica, replica.request_count()));
+        assert_eq!((healthy.endpoint, 1), (changes.replica, replica.request_count()));
     }
 }
 
--- a/crates/shallotd/src/traffic/caller_requests.rs
+++ b/crates/shallotd/src/traffic/caller_requests.rs
@@ -35,7 +35,7 @@
     let version = request.version();
     let operation = parse_operation_headers(request.headers());
     match read_whole(request, &limits, &context.body_budget).await {
-        Ok(whole) => dispatch(context, whole).await,
+        Ok(buffered) => dispatch(context, buffered).await,
         Err(rejection) => with_connection_close(
             reject(context, operation, rejection.problem()).await.into_response(),
             version,
