--- a/crates/shallotd/src/control/lists_start.rs
+++ b/crates/shallotd/src/control/lists_start.rs
@@ -27,8 +27,10 @@
 
 /// Delay between two rounds while no rule list is found; calls to the platform also have a rate
 /// limit.
-const ROUND_BACKOFF: BackoffConfig =
-    BackoffConfig { first: Duration::from_millis(50), max: Duration::from_millis(500) };
+const ROUND_BACKOFF: BackoffConfig = BackoffConfig {
+    initial_delay: Duration::from_millis(50),
+    max_delay: Duration::from_millis(500),
+};
 
 /// Reads every replica of the platform and the peers, in rounds, until a rule list is in force.
 ///
@@ -45,7 +47,7 @@
         if state.lists.borrow().rules.is_some() {
             break;
         }
-        tokio::time::sleep(backoff.failed()).await;
+        tokio::time::sleep(backoff.next_delay()).await;
     }
     state.lists.borrow_mut().mark_start_complete();
     publish(state);
@@ -54,7 +56,7 @@
 async fn read_all_replicas(state: &Rc<State>) {
     for _ in 0..state.platform.replica_count() {
         if read_platform(state, Duration::ZERO).await.is_ok() {
-            state.platform.next_replica();
+            state.platform.switch_replica();
         }
     }
 }
--- a/crates/shallotd/src/control/probes.rs
+++ b/crates/shallotd/src/control/probes.rs
@@ -61,7 +61,7 @@
         let present: Vec<MeasuredTarget> = changes.present.iter().map(to_measured_target).collect();
         scheduler.change_targets(&gone, &present, state.context.clock.now());
     }
-    for service in snapshot.services.values().filter(|service| service.pool.take_touched()) {
+    for service in snapshot.services.values().filter(|service| service.pool.take_attempt_ended()) {
         record_traffic_answers(&mut scheduler, service);
     }
     let due = scheduler.due(state.context.clock.now());
@@ -100,7 +100,7 @@
     let result = context.exchange.send(attempt).await;
     record_outcome(&state, permit, &result);
     if let Some(report) = result.as_ref().ok().and_then(load_report) {
-        service.pool.report(&id, report);
+        service.pool.record_load(&id, report);
     }
 }
 
