--- a/crates/standin/src/caller/call.rs
+++ b/crates/standin/src/caller/call.rs
@@ -1,4 +1,4 @@
-//! A request as a caller describes it, and what became of it.
+//! Requests that a caller sends, and the outcome of each.
 
 use bytes::Bytes;
 use http::{HeaderMap, Method};
@@ -8,47 +8,47 @@
 use crate::digest::{CONTENT_DIGEST, content_digest};
 use crate::target::{MARK_HEADER, TARGET_HEADER, WorkAnswer};
 
-/// Header with the verdict on a request that failed.
+/// Header that carries the verdict on a failed request.
 const VERDICT_HEADER: &str = "shallotfork-verdict";
 
-/// One request.
+/// A request to send to a service.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// The service asked.
+    /// Service that the request is sent to.
     pub service: ServiceName,
-    /// The HTTP method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Request path and query.
     pub path: String,
-    /// The body, empty by default.
+    /// Request body; empty by default.
     pub body: Bytes,
-    /// Key of a non-idempotent operation.
+    /// Idempotency key of a non-idempotent operation.
     pub key: Option<IdempotencyKey>,
-    /// Session to use in place of the newest one held.
+    /// Session to use instead of the one in the cached entry list.
     pub session: Option<String>,
-    /// Further headers.
+    /// Additional request headers.
     pub headers: HeaderMap,
 }
 
 impl Call {
-    /// A read.
+    /// Creates a `GET` request.
     pub fn get(service: ServiceName, path: &str) -> Self {
         Self::new(service, Method::GET, path, Bytes::new())
     }
 
-    /// A non-idempotent operation under a key.
+    /// Creates a `POST` request with an idempotency key.
     pub fn post(service: ServiceName, path: &str, key: IdempotencyKey, body: Bytes) -> Self {
         Self { key: Some(key), ..Self::new(service, Method::POST, path, body) }
     }
 
-    /// Any request without a key.
+    /// Creates a request without an idempotency key.
     pub fn new(service: ServiceName, method: Method, path: &str, body: Bytes) -> Self {
         let path = path.to_owned();
         let headers = HeaderMap::new();
         Self { service, method, path, body, key: None, session: None, headers }
     }
 
-    /// Adds a header; one that is not valid is left out.
+    /// Adds a header; an invalid value is ignored.
     #[must_use]
     pub fn with_header(mut self, name: &'static str, value: &str) -> Self {
         if let Ok(value) = value.parse() {
@@ -57,48 +57,48 @@
         self
     }
 
-    /// Adds a mark, which the target echoes and counts.
+    /// Adds a mark, which the target echoes in its answer and counts in its records.
     #[must_use]
     pub fn with_mark(self, mark: &str) -> Self {
         self.with_header(MARK_HEADER, mark)
     }
 
-    /// Uses a session kept from an earlier call.
+    /// Sends the request with a session from an earlier call.
     #[must_use]
     pub fn with_session(mut self, session: &str) -> Self {
         self.session = Some(session.to_owned());
         self
     }
 
-    /// Whether another run would do no harm.
+    /// Returns whether the method is idempotent, so that running the request twice is harmless.
     pub fn is_idempotent(&self) -> bool {
         self.method.is_idempotent()
     }
 
-    /// Whether a resend can't cause a second run: nothing to lose, or a key that guards it.
+    /// Returns whether a retry is safe: the method is idempotent, or a key prevents a second run.
     pub fn may_resend(&self) -> bool {
         self.is_idempotent() || self.key.is_some()
     }
 }
 
-/// A whole answer.
+/// A complete answer to a request.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// The verdict, when the system itself answered.
+    /// Verdict, if an entry itself answered.
     pub verdict: Option<Verdict>,
-    /// How long to wait before asking again.
+    /// Value of `Retry-After`, in seconds.
     pub retry_after_s: Option<u64>,
-    /// The target that answered.
+    /// Target that answered.
     pub target: Option<TargetId>,
-    /// The mark that came back.
+    /// Mark echoed by the target.
     pub mark: Option<String>,
-    /// Whether the body has the digest that its headers state; nothing when they state none.
+    /// Whether the body matches its `Content-Digest` header; `None` without that header.
     pub digest_holds: Option<bool>,
-    /// All headers.
+    /// All response headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// Response body.
     pub body: Bytes,
 }
 
@@ -117,53 +117,53 @@
         }
     }
 
-    /// Whether the status is 2xx.
+    /// Returns whether the status is 2xx.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 
-    /// The target's own answer; nothing when the system answered.
+    /// Returns the body that the target wrote; `None` when an entry answered instead.
     pub fn work(&self) -> Option<WorkAnswer> {
         serde_json::from_slice(&self.body).ok()
     }
 }
 
-/// One send of a request.
+/// One attempt to send a request through an entry.
 #[derive(Debug, Clone, Serialize)]
 pub struct Attempt {
-    /// The entry that it went to.
+    /// Entry that the attempt was sent to.
     pub entry: Endpoint,
-    /// Status of the answer, if one came whole.
+    /// Status of the answer, if it was received completely.
     pub status: Option<u16>,
-    /// The verdict, if the answer carries one.
+    /// Verdict of the answer, if it has one.
     pub verdict: Option<Verdict>,
-    /// Why no whole answer came.
+    /// Why no complete answer was received.
     pub error: Option<String>,
 }
 
-/// What became of a request.
+/// Outcome of a request over all of its attempts.
 #[derive(Debug, Clone)]
 pub struct Report {
-    /// Every send in order.
+    /// All attempts, in the order in which they were made.
     pub attempts: Vec<Attempt>,
-    /// The session that a keyed request was sent with.
+    /// Session that a request with an idempotency key was sent with.
     pub session: Option<String>,
-    /// The last whole answer.
+    /// Last complete answer.
     pub answer: Option<Answer>,
 }
 
 impl Report {
-    /// The answer, when it is a success.
+    /// Returns the last answer if its status is 2xx.
     pub fn success(&self) -> Option<&Answer> {
         self.answer.as_ref().filter(|answer| answer.is_success())
     }
 
-    /// Whether every send was answered with the proof that nothing ran.
+    /// Returns whether every attempt was answered with the verdict that the request did not run.
     pub fn is_proved_not_run(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.verdict == Some(Verdict::NotRun))
     }
 
-    /// The last answer's verdict.
+    /// Returns the verdict of the last answer.
     pub fn verdict(&self) -> Option<Verdict> {
         self.answer.as_ref().and_then(|answer| answer.verdict)
     }
--- a/crates/standin/src/caller/client.rs
+++ b/crates/standin/src/caller/client.rs
@@ -1,4 +1,4 @@
-//! Sends calls through entries and fails over between them.
+//! Client that sends requests through entries and fails over between them.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -14,23 +14,23 @@
 
 const SESSION_HEADER: &str = "shallotfork-session";
 const KEY_HEADER: &str = "idempotency-key";
-/// Wait before a resend when the answer names none.
-const RETRY_WAIT: Duration = Duration::from_millis(50);
+/// Delay before a retry when the answer has no `Retry-After`.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// When a caller can't send at all.
+/// Error that prevents a caller from sending a request.
 #[derive(Debug)]
 pub enum CallerError {
-    /// The HTTP client can't be built.
+    /// The HTTP client could not be built.
     Client(reqwest::Error),
-    /// No entry answered which entries to use.
+    /// No entry returned a usable list of entries.
     NoEntry(String),
 }
 
 impl std::fmt::Display for CallerError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Client(error) => write!(f, "HTTP client: {error}"),
-            Self::NoEntry(last) => write!(f, "no entry says which to use; the last one: {last}"),
+            Self::Client(error) => write!(f, "could not build the HTTP client: {error}"),
+            Self::NoEntry(last) => write!(f, "no entry returned a usable list of entries: {last}"),
         }
     }
 }
@@ -38,119 +38,124 @@
 impl std::error::Error for CallerError {}
 
 #[derive(Debug, Clone)]
-struct Held {
+struct CachedEntries {
     answer: EntriesAnswer,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// A caller with its own connections and kept answers.
+/// A caller with its own connections and its own cache of entry lists.
 #[derive(Debug)]
 pub struct Caller {
     config: CallerConfig,
     http: reqwest::Client,
-    held: Mutex<BTreeMap<ServiceName, Held>>,
+    cache: Mutex<BTreeMap<ServiceName, CachedEntries>>,
 }
 
 impl Caller {
-    /// A caller that has not asked yet.
+    /// Creates a caller with an empty cache.
     ///
     /// # Errors
-    /// When the HTTP client can't be built.
+    /// Returns an error if the HTTP client cannot be built.
     pub fn new(config: CallerConfig) -> Result<Self, CallerError> {
         let http = plain_client(config.timeout).map_err(CallerError::Client)?;
-        Ok(Self { config, http, held: Mutex::default() })
+        Ok(Self { config, http, cache: Mutex::default() })
     }
 
-    /// The entries to use for `service`: the answer held, or a new one when that has run out.
+    /// Returns the entries to use for `service`, from the cache or, once that has expired, from an
+    /// entry.
     ///
     /// # Errors
-    /// When no entry answers.
+    /// Returns an error if no entry answers.
     pub async fn entries(&self, service: &ServiceName) -> Result<EntriesAnswer, CallerError> {
-        let mut held = self.held.lock().await;
-        let known = held.get(service);
-        if let Some(known) = known.filter(|known| Instant::now() < known.until) {
-            return Ok(known.answer.clone());
+        let mut cache = self.cache.lock().await;
+        let cached = cache.get(service);
+        if let Some(cached) = cached.filter(|cached| Instant::now() < cached.expires_at) {
+            return Ok(cached.answer.clone());
         }
-        let mut last = "none is known".to_owned();
-        for entry in self.ask_order(known) {
-            match self.ask(entry, service).await {
+        let mut last_error = "no entry address is known".to_owned();
+        for entry in self.entry_candidates(cached) {
+            match self.fetch_entries(entry, service).await {
                 Ok(answer) => {
-                    let until = Instant::now() + Duration::from_millis(answer.keep_for_ms);
-                    held.insert(service.clone(), Held { answer: answer.clone(), until });
+                    let expires_at = Instant::now() + Duration::from_millis(answer.keep_for_ms);
+                    cache.insert(
+                        service.clone(),
+                        CachedEntries { answer: answer.clone(), expires_at },
+                    );
                     return Ok(answer);
                 }
-                Err(error) => last = format!("{entry}: {error}"),
+                Err(error) => last_error = format!("{entry}: {error}"),
             }
         }
-        Err(CallerError::NoEntry(last))
+        Err(CallerError::NoEntry(last_error))
     }
 
-    /// Forgets the answer held for `service`, as a caller that was restarted does.
+    /// Removes the cached entries of `service`, as a restart of the caller does.
     pub async fn forget(&self, service: &ServiceName) {
-        self.held.lock().await.remove(service);
+        self.cache.lock().await.remove(service);
     }
 
-    /// Sends a call, through one entry after the other while it fails and a resend is safe.
+    /// Sends a request, retrying through the next entry while it fails and a retry is safe.
     ///
     /// # Errors
-    /// When no entry says which entries to use.
+    /// Returns an error if no entry returns a usable list of entries.
     pub async fn call(&self, call: &Call) -> Result<Report, CallerError> {
         let mut report = Report { attempts: Vec::new(), session: None, answer: None };
         for number in 0..self.config.attempts_max {
-            let known = self.entries(&call.service).await?;
-            if known.entries.is_empty() {
-                return Err(CallerError::NoEntry("an empty list".to_owned()));
+            let available = self.entries(&call.service).await?;
+            if available.entries.is_empty() {
+                return Err(CallerError::NoEntry("the list of entries is empty".to_owned()));
             }
             if report.session.is_none() {
-                report.session = session_for(call, &known);
+                report.session = session_for(call, &available);
             }
             if call.key.is_some() && report.session.is_none() {
-                self.expire(&call.service).await;
-                tokio::time::sleep(RETRY_WAIT).await;
+                self.expire_entries(&call.service).await;
+                tokio::time::sleep(DEFAULT_RETRY_DELAY).await;
                 continue;
             }
-            let entry = known.entries[number % known.entries.len()].address;
-            let wait = self.send_once(entry, call, &mut report).await;
-            let Some(wait) = wait else {
+            let entry = available.entries[number % available.entries.len()].address;
+            let delay = self.send_attempt(entry, call, &mut report).await;
+            let Some(delay) = delay else {
                 break;
             };
             if call.session.is_none() && report.is_proved_not_run() {
                 report.session = None;
-                self.expire(&call.service).await;
+                self.expire_entries(&call.service).await;
             }
-            tokio::time::sleep(wait.min(self.config.retry_wait_max)).await;
+            tokio::time::sleep(delay.min(self.config.retry_delay_max)).await;
         }
         Ok(report)
     }
 
-    /// Asks again before the next send, first those that the last answer named.
-    async fn expire(&self, service: &ServiceName) {
-        if let Some(held) = self.held.lock().await.get_mut(service) {
-            held.until = Instant::now();
+    /// Expires the cached entries of `service`, so that the next attempt fetches a new list. The
+    /// entries of the old list are asked first.
+    async fn expire_entries(&self, service: &ServiceName) {
+        if let Some(cached) = self.cache.lock().await.get_mut(service) {
+            cached.expires_at = Instant::now();
         }
     }
 
-    /// Sends a call to one entry, once.
+    /// Sends a request through one entry, without retries.
     pub async fn send_to(&self, entry: Endpoint, call: &Call) -> Report {
         let session = call.session.clone();
         let mut report = Report { attempts: Vec::new(), session, answer: None };
-        let _ = self.send_once(entry, call, &mut report).await;
+        let _ = self.send_attempt(entry, call, &mut report).await;
         report
     }
 
-    /// Sends once; gives the wait before a resend, or nothing when the call is settled.
-    async fn send_once(
+    /// Makes one attempt. Returns the delay before a retry, or `None` if there must be no retry.
+    async fn send_attempt(
         &self,
         entry: Endpoint,
         call: &Call,
         report: &mut Report,
     ) -> Option<Duration> {
-        match self.exchange(entry, call, report.session.as_deref()).await {
+        match self.send_request(entry, call, report.session.as_deref()).await {
             Ok(answer) => {
                 report.attempts.push(attempt(entry, Ok(&answer)));
-                let wait = resend_wait(call, &answer);
+                let delay = retry_delay(call, &answer);
                 report.answer = Some(answer);
-                wait
+                delay
             }
             Err(error) => {
                 report.attempts.push(attempt(entry, Err(&error)));
@@ -159,7 +164,7 @@
         }
     }
 
-    async fn exchange(
+    async fn send_request(
         &self,
         entry: Endpoint,
         call: &Call,
@@ -184,19 +189,20 @@
         Ok(Answer::new(status, headers, body))
     }
 
-    /// Entries of the last answer first, then those of the settings.
-    fn ask_order(&self, known: Option<&Held>) -> Vec<Endpoint> {
-        let known = known.into_iter().flat_map(|held| &held.answer.entries);
-        let mut order: Vec<Endpoint> = known.map(|entry| entry.address).collect();
+    /// Returns the entries to fetch a list from: those of the cached list first, then those of the
+    /// settings.
+    fn entry_candidates(&self, cached: Option<&CachedEntries>) -> Vec<Endpoint> {
+        let cached = cached.into_iter().flat_map(|cached| &cached.answer.entries);
+        let mut candidates: Vec<Endpoint> = cached.map(|entry| entry.address).collect();
         for entry in &self.config.entries {
-            if !order.contains(entry) {
-                order.push(*entry);
+            if !candidates.contains(entry) {
+                candidates.push(*entry);
             }
         }
-        order
+        candidates
     }
 
-    async fn ask(
+    async fn fetch_entries(
         &self,
         entry: Endpoint,
         service: &ServiceName,
@@ -210,10 +216,10 @@
     }
 }
 
-/// An HTTP client that does nothing on its own: no redirects, proxies or resends.
+/// Builds an HTTP client that follows no redirects, uses no proxies and makes no retries.
 ///
 /// # Errors
-/// When the client can't be built.
+/// Returns an error if the client cannot be built.
 pub fn plain_client(timeout: Duration) -> Result<reqwest::Client, reqwest::Error> {
     reqwest::Client::builder()
         .redirect(reqwest::redirect::Policy::none())
@@ -232,26 +238,30 @@
     }
 }
 
-/// A keyed call stays with the session it was first sent with, as under another session the same
-/// key names another operation; only when every send is proved not to have run may it change.
-fn session_for(call: &Call, known: &EntriesAnswer) -> Option<String> {
+/// Returns the session for a request with an idempotency key.
+///
+/// All attempts of such a request use the same session, because the same key under another session
+/// identifies another operation. The session may change only while every attempt is proved not to
+/// have run.
+fn session_for(call: &Call, available: &EntriesAnswer) -> Option<String> {
     call.key.as_ref()?;
-    call.session.clone().or_else(|| known.session.clone())
+    call.session.clone().or_else(|| available.session.clone())
 }
 
-/// How long to wait before a resend that is safe and may help.
-fn resend_wait(call: &Call, answer: &Answer) -> Option<Duration> {
+/// Returns the delay before a retry, or `None` if a retry is unsafe or cannot succeed.
+fn retry_delay(call: &Call, answer: &Answer) -> Option<Duration> {
     let verdict = answer.verdict?;
-    if answer.is_success() || !is_passing(answer.status) {
+    if answer.is_success() || !is_transient(answer.status) {
         return None;
     }
     let safe = verdict == Verdict::NotRun || (verdict == Verdict::MayHaveRun && call.may_resend());
-    let told = answer.retry_after_s.map(Duration::from_secs);
-    safe.then(|| told.unwrap_or(RETRY_WAIT))
+    let retry_after = answer.retry_after_s.map(Duration::from_secs);
+    safe.then(|| retry_after.unwrap_or(DEFAULT_RETRY_DELAY))
 }
 
-/// Whether a failure may be over soon; a request that is wrong stays wrong.
-fn is_passing(status: u16) -> bool {
+/// Returns whether a failure with this status is transient. An invalid request is not: it fails
+/// again on every retry.
+fn is_transient(status: u16) -> bool {
     let conflict = StatusCode::CONFLICT.as_u16();
     let too_many = StatusCode::TOO_MANY_REQUESTS.as_u16();
     status >= 500 || status == conflict || status == too_many
--- a/crates/standin/src/caller/entries.rs
+++ b/crates/standin/src/caller/entries.rs
@@ -1,23 +1,23 @@
-//! An entry's answer about which entries to use.
+//! Response to a caller's request for the entries to use.
 
 use serde::{Deserialize, Serialize};
 use shallotfork_types::{Endpoint, FailureDomain};
 
-/// One entry that a caller may use.
+/// An entry advertised to callers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryAddress {
-    /// Where it takes requests.
+    /// Address on which the entry accepts requests.
     pub address: Endpoint,
-    /// Where it stands.
+    /// Failure domain of the entry.
     pub failure_domain: FailureDomain,
 }
 
-/// Body of `GET /v1/entries`.
+/// Response body of `GET /v1/entries`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntriesAnswer {
-    /// Entries in order of preference.
+    /// Entries to use, most preferred first.
     pub entries: Vec<EntryAddress>,
-    /// How long the caller may use this answer.
+    /// How long the caller may cache this response, in milliseconds.
     pub keep_for_ms: u64,
     /// Session for non-idempotent requests; a leaving entry issues none.
     pub session: Option<String>,
--- a/crates/standin/src/caller/mod.rs
+++ b/crates/standin/src/caller/mod.rs
@@ -1,5 +1,6 @@
-//! A caller as the users' applications are: asks an entry which to use, keeps the answer for as
-//! long as told, connects there, and fails over.
+//! Stand-in for a caller, modelled on the applications of the users: it asks an entry which entries
+//! to use, caches the response for the time that it states, connects to those entries and fails
+//! over between them.
 
 mod call;
 mod client;
--- a/crates/standin/src/command/caller.rs
+++ b/crates/standin/src/command/caller.rs
@@ -1,4 +1,4 @@
-//! The caller stand-in as a program.
+//! The `caller` subcommand.
 
 use anyhow::{Context, bail};
 use bytes::Bytes;
@@ -8,9 +8,9 @@
 use shallotfork_standin::caller::{Attempt, Call, Caller, CallerConfig, Report};
 use shallotfork_types::{Endpoint, IdempotencyKey, ServiceName, Verdict};
 
-/// What is printed for one call.
+/// JSON line printed for one request.
 #[derive(Debug, Serialize)]
-struct Printed<'a> {
+struct CallLine<'a> {
     status: Option<u16>,
     verdict: Option<Verdict>,
     target: Option<String>,
@@ -21,7 +21,7 @@
     attempts: &'a [Attempt],
 }
 
-impl<'a> Printed<'a> {
+impl<'a> CallLine<'a> {
     fn new(report: &'a Report) -> Self {
         let answer = report.answer.as_ref();
         Self {
@@ -45,10 +45,10 @@
     call: Call,
 }
 
-/// Makes the described calls, one after the other.
+/// Sends the requests given by the options, one after the other.
 ///
 /// # Errors
-/// When an option is wrong or a call ends without success.
+/// Returns an error if an option is invalid or a request does not succeed.
 pub async fn run(args: &mut Parser) -> anyhow::Result<()> {
     let options = parse(args)?;
     let caller = Caller::new(CallerConfig::new(options.entries.clone()))?;
@@ -57,9 +57,9 @@
             Some(entry) => caller.send_to(entry, &options.call).await,
             None => caller.call(&options.call).await?,
         };
-        println!("{}", serde_json::to_string(&Printed::new(&report))?);
+        println!("{}", serde_json::to_string(&CallLine::new(&report))?);
         if report.success().is_none() {
-            bail!("the call ended without success");
+            bail!("the call did not succeed");
         }
     }
     Ok(())
--- a/crates/standin/src/command/mod.rs
+++ b/crates/standin/src/command/mod.rs
@@ -25,10 +25,10 @@
 Exit codes: 0 success, 1 failure.
 ";
 
-/// Runs the subcommand that the command line names.
+/// Runs the subcommand given on the command line.
 ///
 /// # Errors
-/// When the command line is wrong or the subcommand fails.
+/// Returns an error if the command line is invalid or the subcommand fails.
 pub fn run() -> anyhow::Result<()> {
     let mut args = lexopt::Parser::from_env();
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -50,5 +50,5 @@
     }
 }
 
-/// Few, since many stand-ins share one machine.
+/// Worker threads of the runtime; few, because many stand-ins share one machine.
 const WORKER_THREADS: usize = 2;
--- a/crates/standin/src/command/platform.rs
+++ b/crates/standin/src/command/platform.rs
@@ -1,14 +1,14 @@
-//! The platform stand-in as a program.
+//! The `platform` subcommand.
 
 use lexopt::{Arg, Parser, ValueExt};
 use shallotfork_standin::platform::{PlatformConfig, serve_platform};
 use shallotfork_standin::ready::{Ready, print_ready};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Serves until SIGTERM.
+/// Runs the platform stand-in until SIGTERM.
 ///
 /// # Errors
-/// When an option is wrong or a port can't be bound.
+/// Returns an error if an option is invalid or a port cannot be bound.
 pub async fn run(args: &mut Parser) -> anyhow::Result<()> {
     let mut config = PlatformConfig::default();
     while let Some(arg) = args.next()? {
@@ -19,7 +19,10 @@
     }
     let mut terminated = signal(SignalKind::terminate())?;
     let running = serve_platform(config).await?;
-    let address = *running.replicas.first().ok_or_else(|| anyhow::anyhow!("no replica"))?;
+    let address = *running
+        .replicas
+        .first()
+        .ok_or_else(|| anyhow::anyhow!("the platform needs at least one replica"))?;
     let control = running.control;
     print_ready(&Ready { ready: true, address, control, replicas: running.replicas.clone() })?;
     terminated.recv().await;
--- a/crates/standin/src/command/target.rs
+++ b/crates/standin/src/command/target.rs
@@ -1,4 +1,4 @@
-//! The target stand-in as a program.
+//! The `target` subcommand.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use shallotfork_types::TargetId;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Serves until SIGTERM, then drains and ends.
+/// Runs the target stand-in until SIGTERM, then drains it and returns.
 ///
 /// # Errors
-/// When an option is wrong or a port can't be bound.
+/// Returns an error if an option is invalid or a port cannot be bound.
 pub async fn run(args: &mut Parser) -> anyhow::Result<()> {
     let config = parse(args)?;
     let mut terminated = signal(SignalKind::terminate())?;
@@ -24,7 +24,7 @@
         replicas: Vec::new(),
     })?;
     terminated.recv().await;
-    running.leave().await?;
+    running.drain_and_stop().await?;
     Ok(())
 }
 
@@ -32,17 +32,17 @@
     let placeholder = TargetId::new("unnamed")?;
     let mut config = TargetConfig::new(placeholder);
     let mut id = None;
-    let mut service = Duration::from_millis(5);
+    let mut service_time = Duration::from_millis(5);
     let mut is_exponential = false;
     while let Some(arg) = args.next()? {
         match arg {
             Arg::Long("id") => id = Some(args.value()?.parse()?),
             Arg::Long("slots") => config.slots = args.value()?.parse()?,
             Arg::Long("queue-max") => config.queue_max = args.value()?.parse()?,
-            Arg::Long("service-us") => service = micros(args)?,
+            Arg::Long("service-us") => service_time = parse_micros(args)?,
             Arg::Long("distribution") => is_exponential = args.value()? == "exponential",
-            Arg::Long("connection-us") => config.connection_setup = micros(args)?,
-            Arg::Long("probe-us") => config.probe = micros(args)?,
+            Arg::Long("connection-us") => config.connection_setup = parse_micros(args)?,
+            Arg::Long("probe-us") => config.probe_duration = parse_micros(args)?,
             Arg::Long("grace-ms") => config.grace = Duration::from_millis(args.value()?.parse()?),
             Arg::Long("shed-status") => config.shed_status = args.value()?.parse()?,
             Arg::Long("seed") => config.seed = args.value()?.parse()?,
@@ -50,11 +50,11 @@
         }
     }
     config.id = id.context("--id is required")?;
-    let exponential = ServiceTime::Exponential(service);
-    let constant = ServiceTime::Constant(service);
+    let exponential = ServiceTime::Exponential(service_time);
+    let constant = ServiceTime::Constant(service_time);
     Ok(config.with_service_time(if is_exponential { exponential } else { constant }))
 }
 
-fn micros(args: &mut Parser) -> anyhow::Result<Duration> {
+fn parse_micros(args: &mut Parser) -> anyhow::Result<Duration> {
     Ok(Duration::from_micros(args.value()?.parse()?))
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for what surrounds the system, for tests, the demo and measurements.
+//! Stand-ins for the components around the system, for tests, the demo and benchmarks.
 //!
-//! The platform's configuration service, a target and a caller, each small enough to read at one
-//! sitting and each able to misbehave on request. None of it is part of the product.
+//! There are stand-ins for the platform's configuration service, a target and a caller. Each is
+//! small and can inject faults on request. None of them is part of the product.
 
 pub mod caller;
 pub mod digest;
--- a/crates/standin/src/load/central_queue.rs
+++ b/crates/standin/src/load/central_queue.rs
@@ -1,4 +1,5 @@
-//! A computed baseline: one queue before all slots that knows everything at once.
+//! Computed baseline: a single queue in front of all slots, with immediate knowledge of their
+//! state.
 
 use std::time::Duration;
 
@@ -11,35 +12,35 @@
     free_at: Duration,
 }
 
-/// What the same arrivals and stragglers give when each request goes, in order, to the slot that
-/// ends it first, without any cost of connections, network or proxy.
+/// Computes the result of the same arrivals and stragglers if each request goes, in order of
+/// arrival, to the slot that finishes it first, without any cost of connections, network or proxy.
 ///
-/// Other faults are left out, so that the baseline is at least as good as with them.
+/// Other faults are ignored, so that the baseline is at least as good as with them.
 ///
 /// # Errors
-/// When the histogram can't be made.
+/// Returns an error if the histogram cannot be created.
 pub fn central_queue(scenario: &Scenario, planned: &[Arrival]) -> anyhow::Result<Measured> {
     let service = &scenario.service;
     let slot = |number: usize| Slot { target: number / service.slots, free_at: Duration::ZERO };
     let mut slots: Vec<Slot> = (0..service.targets * service.slots).map(slot).collect();
     let mut measured = Measured::new(scenario.length - scenario.warm_up)?;
     for arrival in planned {
-        let ends = |slot: &Slot| {
+        let finishes_at = |slot: &Slot| {
             let start = slot.free_at.max(arrival.at);
             start + arrival.work.mul_f64(slowdown(scenario, slot.target, start))
         };
-        let Some(best) = slots.iter_mut().min_by_key(|slot| ends(slot)) else { continue };
-        let end = ends(best);
+        let Some(best) = slots.iter_mut().min_by_key(|slot| finishes_at(slot)) else { continue };
+        let end = finishes_at(best);
         let latency = end - arrival.at;
-        let good = latency <= scenario.deadline;
-        if good {
+        let is_in_time = latency <= scenario.deadline;
+        if is_in_time {
             best.free_at = end;
         }
         if arrival.at < scenario.warm_up {
             continue;
         }
         measured.requests += 1;
-        if good {
+        if is_in_time {
             measured.good += 1;
             measured.record(latency);
         } else {
@@ -50,10 +51,10 @@
 }
 
 fn slowdown(scenario: &Scenario, target: usize, at: Duration) -> f64 {
-    let holds = |fault: &&super::scenario::Fault| {
+    let is_active = |fault: &&super::scenario::Fault| {
         fault.hits.contains(&target) && at >= fault.from && at < fault.from + fault.lasts
     };
-    let permille = scenario.faults.iter().filter(holds).find_map(|fault| match fault.kind {
+    let permille = scenario.faults.iter().filter(is_active).find_map(|fault| match fault.kind {
         FaultKind::Straggler(permille) => Some(permille),
         _ => None,
     });
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -1,5 +1,5 @@
-//! Open-loop load for measurements: arrivals at a set rate whatever becomes of earlier requests,
-//! the same for every system measured with one seed.
+//! Open-loop load generator for benchmarks: requests arrive at a fixed rate regardless of the
+//! outcome of earlier requests, and one seed gives every measured system the same arrivals.
 
 mod arrivals;
 mod central_queue;
--- a/crates/standin/src/load/open_loop.rs
+++ b/crates/standin/src/load/open_loop.rs
@@ -1,4 +1,4 @@
-//! Sends planned requests on time.
+//! Sends planned requests at their arrival times.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,56 +14,61 @@
 use shallotfork_types::Verdict;
 
 const DEADLINE_HEADER: &str = "shallotfork-deadline-ms";
-/// How long answers are awaited after the last arrival.
+/// How long to wait for answers after the last arrival.
 const DRAIN_LIMIT: Duration = Duration::from_secs(10);
 
-/// How one request ended.
-enum End {
+/// Outcome of one request.
+enum Outcome {
     Good,
-    Refused,
+    Rejected,
     Failed,
 }
 
-struct Ended {
+struct FinishedRequest {
     arrival: Arrival,
-    end: End,
+    outcome: Outcome,
     latency: Duration,
     send_lag: Duration,
 }
 
-/// Sends every request at its planned time, measured from `begin`, and waits for the ends.
+/// Sends every request at its planned time after `begin` and waits for the outcomes.
 ///
-/// Latency counts from the planned time: a request that was sent late because the system or this
-/// process was slow is late all the same.
+/// Latency counts from the planned time, so that it includes the delay of a request that was sent
+/// late because the system or this process was slow.
 ///
 /// # Errors
-/// When the histogram can't be made.
+/// Returns an error if the histogram cannot be created.
 pub async fn open_loop(
     scenario: &Scenario,
     planned: &[Arrival],
     callers: &[Arc<Caller>],
     begin: Instant,
 ) -> anyhow::Result<Measured> {
-    let (ends, mut ended) = mpsc::unbounded_channel();
+    let (sender, mut finished) = mpsc::unbounded_channel();
     for arrival in planned {
         tokio::time::sleep_until(begin + arrival.at).await;
         let caller = Arc::clone(&callers[arrival.caller % callers.len()]);
         let sending = send(scenario.clone(), *arrival, caller, begin);
-        let ends = ends.clone();
+        let sender = sender.clone();
         tokio::spawn(async move {
-            let _collected = ends.send(sending.await);
+            let _collected = sender.send(sending.await);
         });
     }
-    drop(ends);
+    drop(sender);
     let mut measured = Measured::new(scenario.length - scenario.warm_up)?;
     let limit = Instant::now() + DRAIN_LIMIT;
-    while let Ok(Some(ended)) = tokio::time::timeout_at(limit, ended.recv()).await {
-        note(&mut measured, scenario, &ended);
+    while let Ok(Some(request)) = tokio::time::timeout_at(limit, finished.recv()).await {
+        record_request(&mut measured, scenario, &request);
     }
     Ok(measured)
 }
 
-async fn send(scenario: Scenario, arrival: Arrival, caller: Arc<Caller>, begin: Instant) -> Ended {
+async fn send(
+    scenario: Scenario,
+    arrival: Arrival,
+    caller: Arc<Caller>,
+    begin: Instant,
+) -> FinishedRequest {
     let due = begin + arrival.at;
     let send_lag = due.elapsed();
     let call = Call::get(scenario.service.name, "/card")
@@ -71,34 +76,35 @@
         .with_header(DEADLINE_HEADER, &scenario.deadline.as_millis().to_string());
     let report = caller.call(&call).await;
     let latency = due.elapsed();
-    let end = report.map_or(End::Failed, |report| end(&report, latency, scenario.deadline));
-    Ended { arrival, end, latency, send_lag }
+    let outcome =
+        report.map_or(Outcome::Failed, |report| classify(&report, latency, scenario.deadline));
+    FinishedRequest { arrival, outcome, latency, send_lag }
 }
 
-fn end(report: &Report, latency: Duration, deadline: Duration) -> End {
+fn classify(report: &Report, latency: Duration, deadline: Duration) -> Outcome {
     if report.success().is_some() && latency <= deadline {
-        return End::Good;
+        return Outcome::Good;
     }
-    let refused = report.verdict() == Some(Verdict::NotRun);
-    if refused { End::Refused } else { End::Failed }
+    let is_rejected = report.verdict() == Some(Verdict::NotRun);
+    if is_rejected { Outcome::Rejected } else { Outcome::Failed }
 }
 
-fn note(measured: &mut Measured, scenario: &Scenario, ended: &Ended) {
-    if ended.arrival.at < scenario.warm_up {
+fn record_request(measured: &mut Measured, scenario: &Scenario, request: &FinishedRequest) {
+    if request.arrival.at < scenario.warm_up {
         return;
     }
     measured.requests += 1;
-    let lag_us = u64::try_from(ended.send_lag.as_micros()).unwrap_or(u64::MAX);
+    let lag_us = u64::try_from(request.send_lag.as_micros()).unwrap_or(u64::MAX);
     measured.send_lag_max_us = measured.send_lag_max_us.max(lag_us);
-    match ended.end {
-        End::Good => {
+    match request.outcome {
+        Outcome::Good => {
             measured.good += 1;
-            measured.record(ended.latency);
+            measured.record(request.latency);
         }
-        End::Refused => measured.refused += 1,
-        End::Failed => {
+        Outcome::Rejected => measured.refused += 1,
+        Outcome::Failed => {
             measured.failed += 1;
-            measured.record(ended.latency.max(scenario.deadline));
+            measured.record(request.latency.max(scenario.deadline));
         }
     }
 }
--- a/crates/standin/src/load/plot.rs
+++ b/crates/standin/src/load/plot.rs
@@ -1,4 +1,4 @@
-//! A plot of latency by quantile, one line for each row of the table.
+//! Plot of latency by quantile, with one line for each row of the table.
 
 use std::path::Path;
 
@@ -12,14 +12,15 @@
 const MARGIN: u32 = 16;
 const LABEL_AREA: u32 = 48;
 const FONT: (&str, u32) = ("sans-serif", 18);
-/// Nines shown: 0 is the lowest latency, 3 is p99.9.
+/// End of the horizontal axis, in nines: 0 is the lowest latency, 3 is p99.9.
 const NINES_MAX: f64 = 3.3;
 const STEPS: u32 = 66;
 
-/// Writes an SVG file. The horizontal axis counts nines: 1 is p90, 2 is p99, 3 is p99.9.
+/// Writes the plot as an SVG file. The horizontal axis counts nines: 1 is p90, 2 is p99, 3 is
+/// p99.9.
 ///
 /// # Errors
-/// When the file can't be written.
+/// Returns an error if the file cannot be written.
 pub fn plot(path: &Path, title: &str, rows: &[Row]) -> anyhow::Result<()> {
     draw(path, title, rows).map_err(|error| anyhow!("{}: {error}", path.display()))
 }
@@ -27,10 +28,10 @@
 fn draw(path: &Path, title: &str, rows: &[Row]) -> Result<(), Box<dyn std::error::Error>> {
     let lines: Vec<(&str, Vec<(f64, f64)>)> = rows
         .iter()
-        .filter_map(|row| Some((row.name.as_str(), line(row.rounds.first()?))))
+        .filter_map(|row| Some((row.name.as_str(), latency_points(row.rounds.first()?))))
         .collect();
     let points = lines.iter().flat_map(|(_, line)| line);
-    let highest = points.map(|(_, ms)| *ms).fold(1.0, f64::max);
+    let latency_max_ms = points.map(|(_, ms)| *ms).fold(1.0, f64::max);
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -38,7 +39,7 @@
         .margin(MARGIN)
         .x_label_area_size(LABEL_AREA)
         .y_label_area_size(LABEL_AREA)
-        .build_cartesian_2d(0.0..NINES_MAX, 0.0..highest * 1.05)?;
+        .build_cartesian_2d(0.0..NINES_MAX, 0.0..latency_max_ms * 1.05)?;
     chart.configure_mesh().x_desc("nines of the quantile").y_desc("latency, ms").draw()?;
     for (number, (name, line)) in lines.into_iter().enumerate() {
         let color = Palette99::pick(number).to_rgba();
@@ -52,7 +53,7 @@
     Ok(())
 }
 
-fn line(measured: &Measured) -> Vec<(f64, f64)> {
+fn latency_points(measured: &Measured) -> Vec<(f64, f64)> {
     let point = |step: u32| {
         let nines = f64::from(step) / f64::from(STEPS) * NINES_MAX;
         (nines, measured.quantile_ms(1.0 - 10f64.powf(-nines)))
--- a/crates/standin/src/load/scenario.rs
+++ b/crates/standin/src/load/scenario.rs
@@ -1,4 +1,4 @@
-//! What a scenario file says: one service, its load, and faults during the run.
+//! Scenario files: one service, its load, and the faults during the run.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -11,95 +11,97 @@
 const SERVICE: &str = "service";
 const FAULT_PREFIX: &str = "fault.";
 
-/// One service and how it is asked.
+/// A service and its load.
 #[derive(Debug, Clone)]
 pub struct ServiceLoad {
-    /// The service.
+    /// Name of the service.
     pub name: ServiceName,
-    /// How many targets it has.
+    /// Number of targets of the service.
     pub targets: usize,
-    /// Requests that a target runs at once.
+    /// Number of requests that a target runs concurrently.
     pub slots: usize,
     /// Mean time that a request holds a slot.
     pub work: Duration,
-    /// Spread of that time: standard deviation of its logarithm; zero makes it exponential.
+    /// Spread of `work`: standard deviation of its logarithm; zero selects an exponential
+    /// distribution.
     pub spread: f64,
-    /// Arrivals as a share of what all slots can serve.
+    /// Arrival rate as a share of the capacity of all slots.
     pub load: Permille,
 }
 
 impl ServiceLoad {
-    /// Requests a second that all slots together can serve.
-    pub fn capacity_a_second(&self) -> f64 {
+    /// Returns the requests per second that all slots together can serve.
+    pub fn capacity_per_second(&self) -> f64 {
         (self.targets * self.slots) as f64 / self.work.as_secs_f64()
     }
 
-    /// Arrivals a second.
-    pub fn rate_a_second(&self) -> f64 {
-        self.capacity_a_second() * f64::from(self.load.value()) / 1000.0
+    /// Returns the number of arrivals per second.
+    pub fn arrivals_per_second(&self) -> f64 {
+        self.capacity_per_second() * f64::from(self.load.value()) / 1000.0
     }
 }
 
-/// What goes wrong.
+/// Kind of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultKind {
-    /// A target's work takes this many thousandths of the usual time.
+    /// Work at a target takes this many thousandths of its usual time.
     Straggler(u64),
-    /// A neighbour slows a target to this many thousandths in turns of 20 ms.
+    /// A noisy neighbour makes work at a target take this many thousandths of its usual time, in
+    /// turns of 20 ms.
     Noise(u64),
-    /// A target fails every request at once.
+    /// A target fails every request immediately.
     FailFast,
-    /// A target takes requests and does nothing until the fault ends.
+    /// A target accepts requests but does not process them until the fault ends.
     Frozen,
-    /// A target's load reports describe its load this many milliseconds ago.
+    /// The load reports of a target describe its load as it was this many milliseconds ago.
     StaleReports(u64),
     /// A target sends no load reports.
     NoReports,
     /// A target is published as draining.
     Drain,
-    /// An entry's process is killed; it does not come back.
+    /// The process of an entry is killed and not restarted.
     KillEntry,
-    /// An entry's process is stopped until the fault ends.
+    /// The process of an entry is paused until the fault ends.
     PauseEntry,
     /// The platform refuses connections.
     PlatformDown,
 }
 
-/// One fault and when it holds.
+/// A fault and the time during which it is active.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// What goes wrong.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Numbers of the targets or entries that it hits.
+    /// Indices of the affected targets or entries.
     pub hits: Vec<usize>,
-    /// From the start of the run.
+    /// Time at which the fault begins, from the start of the run.
     pub from: Duration,
-    /// How long it holds.
+    /// Duration of the fault.
     pub lasts: Duration,
 }
 
-/// A named experiment; the same seed gives the same arrivals, work and faults.
+/// A named benchmark scenario; the same seed gives the same arrivals, work and faults.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// Its name, used for files.
+    /// Name of the scenario, used for file names.
     pub name: String,
-    /// Seed of arrivals and work.
+    /// Seed of the random arrivals and work.
     pub seed: u64,
-    /// Entry processes.
+    /// Number of entry processes.
     pub entries: usize,
-    /// Callers, each with its own kept answer which entries to use.
+    /// Number of callers, each with its own cached list of entries.
     pub callers: usize,
-    /// Arrivals in this time are not measured.
+    /// Length of the warm-up; requests that arrive in it are not measured.
     pub warm_up: Duration,
-    /// Length of the run, warm-up included.
+    /// Length of the run, including the warm-up.
     pub length: Duration,
-    /// Systems started per policy.
+    /// Number of rounds per policy, each with a newly started system.
     pub rounds: usize,
-    /// How long a caller waits.
+    /// Deadline of each request, from its arrival.
     pub deadline: Duration,
-    /// The load.
+    /// Service and its load.
     pub service: ServiceLoad,
-    /// The faults.
+    /// Faults during the run.
     pub faults: Vec<Fault>,
 }
 
@@ -108,28 +110,28 @@
 
     fn from_str(text: &str) -> anyhow::Result<Self> {
         let ini = Ini::load_from_str(text)?;
-        let scenario = ini.section(Some(SCENARIO)).context("no [scenario]")?;
-        let service = ini.section(Some(SERVICE)).context("no [service]")?;
-        let named = ini.iter().filter_map(|(name, section)| Some((name?, section)));
-        let faults = named.filter(|(name, _)| name.starts_with(FAULT_PREFIX));
+        let scenario = ini.section(Some(SCENARIO)).context("section [scenario] is missing")?;
+        let service = ini.section(Some(SERVICE)).context("section [service] is missing")?;
+        let sections = ini.iter().filter_map(|(name, section)| Some((name?, section)));
+        let faults = sections.filter(|(name, _)| name.starts_with(FAULT_PREFIX));
         Ok(Self {
             name: required(scenario, "name")?,
             seed: required(scenario, "seed")?,
             entries: required(scenario, "entries")?,
             callers: required(scenario, "callers")?,
-            warm_up: millis(scenario, "warm_up_ms")?,
-            length: millis(scenario, "length_ms")?,
+            warm_up: required_millis(scenario, "warm_up_ms")?,
+            length: required_millis(scenario, "length_ms")?,
             rounds: required(scenario, "rounds")?,
-            deadline: millis(scenario, "deadline_ms")?,
-            service: service_load(service)?,
+            deadline: required_millis(scenario, "deadline_ms")?,
+            service: parse_service_load(service)?,
             faults: faults
-                .map(|(name, section)| fault(section).with_context(|| name.to_owned()))
+                .map(|(name, section)| parse_fault(section).with_context(|| name.to_owned()))
                 .collect::<anyhow::Result<_>>()?,
         })
     }
 }
 
-fn service_load(section: &Properties) -> anyhow::Result<ServiceLoad> {
+fn parse_service_load(section: &Properties) -> anyhow::Result<ServiceLoad> {
     Ok(ServiceLoad {
         name: required::<String>(section, "name")?.parse()?,
         targets: required(section, "targets")?,
@@ -140,7 +142,7 @@
     })
 }
 
-fn fault(section: &Properties) -> anyhow::Result<Fault> {
+fn parse_fault(section: &Properties) -> anyhow::Result<Fault> {
     let amount = || required::<u64>(section, "amount");
     let kind = match required::<String>(section, "kind")?.as_str() {
         "straggler" => FaultKind::Straggler(amount()?),
@@ -153,15 +155,15 @@
         "kill-entry" => FaultKind::KillEntry,
         "pause-entry" => FaultKind::PauseEntry,
         "platform-down" => FaultKind::PlatformDown,
-        other => bail!("unknown kind {other:?}"),
+        other => bail!("unknown fault kind {other:?}"),
     };
     let hits = section.get("hits").unwrap_or("");
     let hits = hits.split(',').map(str::trim).filter(|number| !number.is_empty());
     Ok(Fault {
         kind,
         hits: hits.map(str::parse).collect::<Result<_, _>>()?,
-        from: millis(section, "from_ms")?,
-        lasts: millis(section, "lasts_ms")?,
+        from: required_millis(section, "from_ms")?,
+        lasts: required_millis(section, "lasts_ms")?,
     })
 }
 
@@ -169,10 +171,10 @@
 where
     T::Err: std::error::Error + Send + Sync + 'static,
 {
-    let text = section.get(key).with_context(|| format!("no key {key}"))?;
-    text.trim().parse().with_context(|| format!("{key} = {text}"))
+    let text = section.get(key).with_context(|| format!("key {key} is missing"))?;
+    text.trim().parse().with_context(|| format!("invalid value: {key} = {text}"))
 }
 
-fn millis(section: &Properties, key: &str) -> anyhow::Result<Duration> {
+fn required_millis(section: &Properties, key: &str) -> anyhow::Result<Duration> {
     Ok(Duration::from_millis(required(section, key)?))
 }
--- a/crates/standin/src/load/table.rs
+++ b/crates/standin/src/load/table.rs
@@ -1,22 +1,22 @@
-//! The table that a comparison prints.
+//! Result table of a comparison.
 
 use std::fmt::Write as _;
 
 use super::outcome::{Measured, SystemCost};
 use super::scenario::Scenario;
 
-/// One policy's rounds.
+/// Results of all rounds of one policy.
 #[derive(Debug, Clone)]
 pub struct Row {
-    /// The policy, or the name of a computed baseline.
+    /// Name of the policy or of a computed baseline.
     pub name: String,
-    /// One for each round.
+    /// Measurements, one for each round.
     pub rounds: Vec<Measured>,
-    /// One for each round; empty for a computed baseline.
+    /// Costs, one for each round; empty for a computed baseline.
     pub costs: Vec<SystemCost>,
 }
 
-/// Medians of the rounds, with the lowest and highest p99 as spread.
+/// Formats the medians over the rounds, with the lowest and highest p99 as spread.
 pub fn table(scenario: &Scenario, rows: &[Row]) -> String {
     let mut text = format!(
         "{}: {} entries, {} targets x {} slots, {} of capacity, {} rounds\n\n",
@@ -30,37 +30,38 @@
     text.push_str("| policy | p50 ms | p99 ms | p99 lowest to highest | p99.9 ms | goodput | refused | failed | extra | probes | CPU us/request | send lag ms |\n");
     text.push_str("| --- | --: | --: | --: | --: | --: | --: | --: | --: | --: | --: | --: |\n");
     for row in rows {
-        line(&mut text, scenario, row);
+        write_row(&mut text, scenario, row);
     }
     text
 }
 
-fn line(text: &mut String, scenario: &Scenario, row: &Row) {
-    let capacity = scenario.service.capacity_a_second();
-    let of = |value: &dyn Fn(&Measured) -> f64| row.rounds.iter().map(value).collect::<Vec<_>>();
-    let p99s = of(&|round| round.quantile_ms(0.99));
+fn write_row(text: &mut String, scenario: &Scenario, row: &Row) {
+    let capacity = scenario.service.capacity_per_second();
+    let per_round =
+        |value: &dyn Fn(&Measured) -> f64| row.rounds.iter().map(value).collect::<Vec<_>>();
+    let p99s = per_round(&|round| round.quantile_ms(0.99));
     let share = |count: u64, round: &Measured| count as f64 / round.requests.max(1) as f64 * 100.0;
     let cost = |value: &dyn Fn(&SystemCost) -> f64| {
         median(row.costs.iter().map(value).collect()).map_or("-".to_owned(), |v| format!("{v:.2}"))
     };
-    let middle = |values: Vec<f64>| median(values).unwrap_or(f64::NAN);
+    let median_or_nan = |values: Vec<f64>| median(values).unwrap_or(f64::NAN);
     let lowest = p99s.iter().copied().fold(f64::INFINITY, f64::min);
     let highest = p99s.iter().copied().fold(0.0, f64::max);
-    // Writing to a String can't fail.
+    // Writing to a `String` cannot fail.
     let _ = writeln!(
         text,
         "| {} | {:.1} | {:.1} | {lowest:.1} to {highest:.1} | {:.1} | {:.1}% | {:.2}% | {:.2}% | {}% | {}% | {} | {:.1} |",
         row.name,
-        middle(of(&|round| round.quantile_ms(0.5))),
-        middle(p99s.clone()),
-        middle(of(&|round| round.quantile_ms(0.999))),
-        middle(of(&|round| round.goodput(capacity) * 100.0)),
-        middle(of(&|round| share(round.refused, round))),
-        middle(of(&|round| share(round.failed, round))),
+        median_or_nan(per_round(&|round| round.quantile_ms(0.5))),
+        median_or_nan(p99s.clone()),
+        median_or_nan(per_round(&|round| round.quantile_ms(0.999))),
+        median_or_nan(per_round(&|round| round.goodput(capacity) * 100.0)),
+        median_or_nan(per_round(&|round| share(round.refused, round))),
+        median_or_nan(per_round(&|round| share(round.failed, round))),
         cost(&|cost| cost.extra_share * 100.0),
         cost(&|cost| cost.probe_share_max * 100.0),
         cost(&|cost| cost.cpu_us_per_request),
-        middle(of(&|round| round.send_lag_max_us as f64 / 1000.0)),
+        median_or_nan(per_round(&|round| round.send_lag_max_us as f64 / 1000.0)),
     );
 }
 
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `shallotfork-standin`: the stand-ins as programs of their own.
+//! The `shallotfork-standin` program, which runs each stand-in as a process.
 
 mod command;
 
--- a/crates/standin/src/net/acceptor.rs
+++ b/crates/standin/src/net/acceptor.rs
@@ -1,4 +1,4 @@
-//! A listener that makes each new connection cost something.
+//! Acceptor that charges a setup cost for each new connection.
 
 use std::io;
 use std::sync::Arc;
@@ -15,26 +15,26 @@
 
 const BACKLOG: usize = 64;
 
-/// What setting up one connection costs the server.
+/// Cost of setting up one connection at the server.
 #[derive(Debug, Clone)]
 pub struct ConnectionCost {
-    /// One of these is held meanwhile.
+    /// Slots of the server; one is held during the setup.
     pub slots: Arc<Semaphore>,
-    /// How long the setting up takes.
+    /// Duration of the setup.
     pub setup: Duration,
 }
 
 #[derive(Debug)]
-struct Accepted {
+struct AcceptedConnection {
     stream: TcpStream,
     remote: RemoteAddr,
 }
 
-/// Accepts connections, pays their cost in the background and hands them to the server.
+/// Accepts connections, spends their setup cost in the background and passes them to the server.
 #[derive(Debug)]
 pub struct FaultyAcceptor {
     local: LocalAddr,
-    accepted: mpsc::Receiver<Accepted>,
+    accepted: mpsc::Receiver<AcceptedConnection>,
     state: ConnectionState,
     _stop: mpsc::Sender<()>,
 }
@@ -43,7 +43,7 @@
     /// Starts accepting on `listener`; must be called on a tokio runtime.
     ///
     /// # Errors
-    /// When the listener has no local address.
+    /// Returns an error if the local address of the listener cannot be read.
     pub fn new(
         listener: TcpListener,
         state: ConnectionState,
@@ -59,7 +59,7 @@
 
 async fn accept_all(
     listener: TcpListener,
-    sender: mpsc::Sender<Accepted>,
+    sender: mpsc::Sender<AcceptedConnection>,
     cost: Option<ConnectionCost>,
     mut stopped: mpsc::Receiver<()>,
 ) {
@@ -71,14 +71,14 @@
         let Ok((stream, remote)) = accepted else {
             continue;
         };
-        let accepted = Accepted { stream, remote: RemoteAddr(remote.into()) };
-        tokio::spawn(hand_over(accepted, sender.clone(), cost.clone()));
+        let accepted = AcceptedConnection { stream, remote: RemoteAddr(remote.into()) };
+        tokio::spawn(set_up_connection(accepted, sender.clone(), cost.clone()));
     }
 }
 
-async fn hand_over(
-    accepted: Accepted,
-    sender: mpsc::Sender<Accepted>,
+async fn set_up_connection(
+    accepted: AcceptedConnection,
+    sender: mpsc::Sender<AcceptedConnection>,
     cost: Option<ConnectionCost>,
 ) {
     if let Some(cost) = cost {
@@ -87,7 +87,8 @@
         };
         tokio::time::sleep(cost.setup).await;
     }
-    // A server that stopped meanwhile drops the connection, as a closed listener would.
+    // If the server has stopped in the meantime, the connection is dropped, as by a closed
+    // listener.
     let _ = sender.send(accepted).await;
 }
 
--- a/crates/standin/src/net/connection.rs
+++ b/crates/standin/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! One connection that can be cut at a chosen byte.
+//! Connection that can be cut at a configured byte.
 
 use std::io;
 use std::pin::Pin;
@@ -9,9 +9,11 @@
 
 use super::faults::ConnectionState;
 
-/// A TCP connection that counts the bytes of the exchange under way and ends where a fault says.
+/// A TCP connection that counts the bytes of the current exchange and ends at the byte set by a
+/// fault.
 ///
-/// A read after a write begins a new exchange, which holds for HTTP/1.1 without pipelining.
+/// A read after a write is taken as the start of a new exchange, which is correct for HTTP/1.1
+/// without pipelining.
 #[derive(Debug)]
 pub struct FaultyConnection {
     stream: TcpStream,
@@ -22,21 +24,21 @@
 }
 
 impl FaultyConnection {
-    /// Wraps a connection just accepted.
+    /// Wraps a newly accepted connection and counts it as opened.
     pub fn new(stream: TcpStream, state: ConnectionState) -> Self {
-        state.opened();
+        state.record_opened();
         Self { stream, state, read_bytes: 0, written_bytes: 0, is_cut: false }
     }
 
     fn cut(&mut self) -> io::Error {
         if !self.is_cut {
             self.is_cut = true;
-            self.state.cut();
+            self.state.record_cut();
         }
         io::ErrorKind::ConnectionReset.into()
     }
 
-    fn note_read(&mut self, count: usize) {
+    fn record_read(&mut self, count: usize) {
         if self.written_bytes > 0 {
             self.written_bytes = 0;
             self.read_bytes = 0;
@@ -44,12 +46,12 @@
         self.read_bytes += count as u64;
     }
 
-    fn may_write(&self, wanted: usize) -> usize {
+    fn writable_bytes(&self, requested: usize) -> usize {
         let Some(limit) = self.state.faults().cut_answer_at_bytes else {
-            return wanted;
+            return requested;
         };
-        let left = limit.saturating_sub(self.written_bytes);
-        wanted.min(usize::try_from(left).unwrap_or(usize::MAX))
+        let remaining = limit.saturating_sub(self.written_bytes);
+        requested.min(usize::try_from(remaining).unwrap_or(usize::MAX))
     }
 }
 
@@ -65,10 +67,11 @@
         if count == 0 {
             return Poll::Ready(Ok(()));
         }
-        self.note_read(count);
+        self.record_read(count);
         let faults = self.state.faults();
-        let read_enough = faults.close_after_read_bytes.is_some_and(|n| self.read_bytes >= n);
-        if faults.refuse || read_enough {
+        let is_read_limit_reached =
+            faults.close_after_read_bytes.is_some_and(|n| self.read_bytes >= n);
+        if faults.refuse || is_read_limit_reached {
             return Poll::Ready(Err(self.cut()));
         }
         Poll::Ready(Ok(()))
@@ -81,7 +84,7 @@
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let allowed = self.may_write(buf.len());
+        let allowed = self.writable_bytes(buf.len());
         if self.state.faults().refuse || (allowed == 0 && !buf.is_empty()) {
             return Poll::Ready(Err(self.cut()));
         }
@@ -101,6 +104,6 @@
 
 impl Drop for FaultyConnection {
     fn drop(&mut self) {
-        self.state.closed();
+        self.state.record_closed();
     }
 }
--- a/crates/standin/src/net/faults.rs
+++ b/crates/standin/src/net/faults.rs
@@ -1,4 +1,4 @@
-//! What may go wrong on a listener's connections, and what was counted there.
+//! Faults and counts of the connections of one listener.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,30 +8,30 @@
 
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Faults of every connection of one listener, now and later.
+/// Faults of all present and future connections of one listener.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ConnectionFaults {
-    /// New connections are closed at once and old ones fail at their next read or write.
+    /// New connections are closed immediately and open ones fail at their next read or write.
     pub refuse: bool,
-    /// The connection ends after this many bytes of each answer.
+    /// The connection is cut after this many bytes of each answer.
     pub cut_answer_at_bytes: Option<u64>,
-    /// The connection ends once this many bytes of a request have been read.
+    /// The connection is cut once this many bytes of a request have been read.
     pub close_after_read_bytes: Option<u64>,
 }
 
-/// Connections of one listener.
+/// Counts of the connections of one listener.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConnectionCounts {
-    /// Connections opened since the start.
+    /// Number of connections opened since the start.
     pub opened: u64,
-    /// Connections open now.
+    /// Number of connections open now.
     pub open: u64,
-    /// The most that were open at once.
+    /// Maximum number of connections open at the same time.
     pub open_max: u64,
-    /// Connections that a fault ended.
+    /// Number of connections cut by a fault.
     pub cut: u64,
-    /// The most that were opened in any window of one second.
+    /// Maximum number of connections opened in any window of one second.
     pub opened_max_in_second: u64,
 }
 
@@ -39,7 +39,7 @@
 struct Inner {
     faults: ConnectionFaults,
     counts: ConnectionCounts,
-    recent: VecDeque<Instant>,
+    recent_opened_at: VecDeque<Instant>,
 }
 
 /// Faults and counts shared by a listener and its connections.
@@ -49,12 +49,12 @@
 }
 
 impl ConnectionState {
-    /// Starts without faults.
+    /// Creates a state without faults.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The faults in force.
+    /// Returns the faults in force.
     pub fn faults(&self) -> ConnectionFaults {
         self.lock().faults
     }
@@ -64,29 +64,29 @@
         self.lock().faults = faults;
     }
 
-    /// What was counted so far.
+    /// Returns the counts so far.
     pub fn counts(&self) -> ConnectionCounts {
         self.lock().counts
     }
 
-    pub(super) fn opened(&self) {
+    pub(super) fn record_opened(&self) {
         let now = Instant::now();
         let mut inner = self.lock();
-        inner.recent.push_back(now);
-        inner.recent.retain(|then| now.duration_since(*then) < WINDOW);
-        let recent = inner.recent.len() as u64;
+        inner.recent_opened_at.push_back(now);
+        inner.recent_opened_at.retain(|opened_at| now.duration_since(*opened_at) < WINDOW);
+        let opened_in_window = inner.recent_opened_at.len() as u64;
         let counts = &mut inner.counts;
-        counts.opened_max_in_second = counts.opened_max_in_second.max(recent);
+        counts.opened_max_in_second = counts.opened_max_in_second.max(opened_in_window);
         counts.opened += 1;
         counts.open += 1;
         counts.open_max = counts.open_max.max(counts.open);
     }
 
-    pub(super) fn closed(&self) {
+    pub(super) fn record_closed(&self) {
         self.lock().counts.open -= 1;
     }
 
-    pub(super) fn cut(&self) {
+    pub(super) fn record_cut(&self) {
         self.lock().counts.cut += 1;
     }
 
--- a/crates/standin/src/net/mod.rs
+++ b/crates/standin/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Listening sockets whose connections can be cut on request.
+//! Acceptor and connections with injectable faults.
 
 mod acceptor;
 mod connection;
--- a/crates/standin/src/platform/config.rs
+++ b/crates/standin/src/platform/config.rs
@@ -1,9 +1,9 @@
-//! Settings of the platform stand-in.
+//! Configuration of the platform stand-in.
 
-/// How many replicas answer, each on a port of its own.
+/// Settings of the platform stand-in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlatformConfig {
-    /// Replicas; 1 by default.
+    /// Number of replicas, each on its own port; 1 by default.
     pub replicas: usize,
 }
 
--- a/crates/standin/src/platform/control.rs
+++ b/crates/standin/src/platform/control.rs
@@ -5,59 +5,59 @@
 
 use super::replica::ReplicaMode;
 
-/// What a test changes on the platform stand-in.
+/// Request of a test to change the platform stand-in.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "control", rename_all = "kebab-case")]
 pub enum PlatformControl {
-    /// Sets a fault of one replica or of all.
+    /// Sets a fault of one replica or of all replicas.
     Fault(ReplicaFault),
-    /// Forgets the newest revisions everywhere.
+    /// Discards the newest revisions on all replicas.
     RollBack(Rollback),
-    /// Delays what is published under a name from now on.
+    /// Delays all future publications of a value.
     Delay(PublishDelay),
-    /// Sets the counts of calls to zero.
+    /// Resets the counts of calls to zero.
     ResetCounts,
 }
 
-/// A fault of one replica, or of all when none is named.
+/// A fault of one replica or of all replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaFault {
-    /// The replica's place, from 0; all when absent.
+    /// Index of the replica, from 0; all replicas if absent.
     #[serde(default)]
     pub replica: Option<usize>,
-    /// What goes wrong.
+    /// Fault to set.
     pub fault: Fault,
 }
 
-/// What goes wrong at a replica.
+/// Fault of a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "kebab-case")]
 pub enum Fault {
-    /// How it answers.
+    /// Sets how the replica answers.
     Mode(ReplicaMode),
-    /// It serves other content than was published, under the same revision.
+    /// Makes the replica serve other content than was published, under the same revision.
     Conflict {
-        /// The value's name.
+        /// Name of the value.
         name: String,
-        /// What this replica serves.
+        /// Content that the replica serves instead.
         content: String,
     },
-    /// It serves what was published again.
+    /// Makes the replica serve the published content again.
     NoConflicts,
 }
 
-/// Where the store goes back to.
+/// Rollback of the store to an earlier revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollback {
-    /// The last revision kept.
+    /// Last revision to keep.
     pub revision: Revision,
 }
 
-/// How long a published value stays unseen, as a lagging VM list does.
+/// Delay before a published value becomes visible, as with a lagging VM list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishDelay {
-    /// The value's name.
+    /// Name of the value.
     pub name: String,
-    /// Time from publishing until readers see it.
+    /// Time from publication until readers see the value, in milliseconds.
     pub delay_ms: u64,
 }
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,7 +1,7 @@
 //! Stand-in for the platform's configuration service.
 //!
-//! Readers get published values by revision; the operator's side publishes with compare-and-set;
-//! tests set faults for each replica and read how many calls were made.
+//! Readers get published values by revision; operators publish with compare-and-set; tests set
+//! faults of each replica and read the counts of calls.
 
 mod calls;
 mod config;
@@ -10,9 +10,9 @@
 mod serve;
 mod store;
 
-pub use calls::{CallCounts, CallerCalls};
+pub use calls::{CallCounts, SourceCalls};
 pub use config::PlatformConfig;
 pub use control::{Fault, PlatformControl, PublishDelay, ReplicaFault, Rollback};
 pub use replica::{Changes, ReplicaMode};
 pub use serve::{RunningPlatform, serve_platform};
-pub use store::{Published, Refused, Store};
+pub use store::{PublishedValue, RevisionMismatch, Store};
--- a/crates/standin/src/platform/serve.rs
+++ b/crates/standin/src/platform/serve.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in's HTTP interfaces.
+//! HTTP interfaces of the platform stand-in.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -24,17 +24,17 @@
 use super::store::Store;
 use crate::net::{ConnectionFaults, ConnectionState, FaultyAcceptor};
 
-/// Longest wait of a long poll, whatever the reader asks for.
+/// Maximum wait of a long poll, even if the reader requests a longer one.
 const WAIT_MAX: Duration = Duration::from_secs(60);
-/// Header with the revision of a single value.
+/// Header that carries the revision of a single value.
 const REVISION_HEADER: &str = "shallotfork-revision";
 
-/// A platform stand-in that answers in the background of this process.
+/// A platform stand-in that runs in the background of this process.
 #[derive(Debug)]
 pub struct RunningPlatform {
-    /// One address for each replica.
+    /// Addresses of the replicas.
     pub replicas: Vec<Endpoint>,
-    /// Where operators publish and tests set faults.
+    /// Control address, on which operators publish and tests set faults.
     pub control: Endpoint,
     shared: Arc<Shared>,
     stop: watch::Sender<bool>,
@@ -42,13 +42,13 @@
 }
 
 impl RunningPlatform {
-    /// Lets waiting readers go with what there is, finishes what is in flight and ends.
+    /// Answers waiting readers with the changes so far, finishes requests in flight and stops.
     pub async fn stop(self) {
         self.stop.send_replace(true);
         self.shared.lock().is_stopping = true;
         self.shared.changed.send_replace(());
         for serving in self.serving {
-            // A replica that failed has nothing in flight.
+            // A replica that failed has no requests in flight.
             let _ = serving.await;
         }
     }
@@ -63,7 +63,7 @@
     is_stopping: bool,
 }
 
-/// State shared by all replicas; the watch channel wakes waiting readers.
+/// State shared by all replicas; the `changed` channel wakes waiting readers.
 #[derive(Debug)]
 struct Shared {
     state: Mutex<State>,
@@ -77,17 +77,17 @@
     }
 }
 
-/// One replica, as its handlers know it.
+/// Context of the handlers of one replica.
 #[derive(Debug, Clone)]
 struct ReplicaContext {
     shared: Arc<Shared>,
     replica: usize,
 }
 
-/// Starts every replica and the control port on loopback ports chosen by the kernel.
+/// Starts all replicas and the control server on loopback ports chosen by the kernel.
 ///
 /// # Errors
-/// When a port can't be bound.
+/// Returns an error if a port cannot be bound.
 pub async fn serve_platform(config: PlatformConfig) -> io::Result<RunningPlatform> {
     let shared = Arc::new(Shared {
         state: Mutex::new(State {
@@ -131,7 +131,7 @@
         .data(context);
     let server = Server::new_with_acceptor(acceptor);
     let stop_signal = async move {
-        // Dropping the sender stops the replica too.
+        // Dropping the sender also stops the replica.
         let _ = stopped.wait_for(|stop| *stop).await;
     };
     let serving = tokio::spawn(server.run_with_graceful_shutdown(routes, stop_signal, None));
@@ -167,12 +167,12 @@
     Query(query): Query<ChangesQuery>,
     Data(context): Data<&ReplicaContext>,
 ) -> Json<Changes> {
-    context.count(request, true);
-    context.hang().await;
+    context.record_call(request, true);
+    context.wait_while_hanging().await;
     let wait = Duration::from_millis(query.wait_ms).min(WAIT_MAX);
     let answer = context.wait_for_changes(&query, wait).await;
     let size_bytes = answer.values.iter().map(|value| value.content.len() as u64).sum();
-    context.shared.lock().calls.sent(size_bytes);
+    context.shared.lock().calls.record_sent(size_bytes);
     Json(answer)
 }
 
@@ -182,8 +182,8 @@
     Path(name): Path<String>,
     Data(context): Data<&ReplicaContext>,
 ) -> Response {
-    context.count(request, false);
-    context.hang().await;
+    context.record_call(request, false);
+    context.wait_while_hanging().await;
     let mut state = context.shared.lock();
     let Some(value) = state.replicas[context.replica].value(&state.store, &name) else {
         return StatusCode::NOT_FOUND.into();
@@ -192,7 +192,7 @@
     if request.header(IF_NONE_MATCH) == Some(etag.as_str()) {
         return Response::builder().status(StatusCode::NOT_MODIFIED).header(ETAG, etag).finish();
     }
-    state.calls.sent(value.content.len() as u64);
+    state.calls.record_sent(value.content.len() as u64);
     Response::builder()
         .header(ETAG, etag)
         .header(REVISION_HEADER, value.revision.to_string())
@@ -200,13 +200,13 @@
 }
 
 impl ReplicaContext {
-    fn count(&self, request: &Request, is_watch: bool) {
+    fn record_call(&self, request: &Request, is_watch: bool) {
         let source = source_of(request);
-        self.shared.lock().calls.count(source, is_watch, Instant::now());
+        self.shared.lock().calls.record_call(source, is_watch, Instant::now());
     }
 
-    /// Waits while the replica is hanging.
-    async fn hang(&self) {
+    /// Waits as long as the replica is hanging.
+    async fn wait_while_hanging(&self) {
         let mut changed = self.shared.changed.subscribe();
         while self.is_hanging() {
             if changed.changed().await.is_err() {
@@ -220,28 +220,31 @@
         !state.is_stopping && state.replicas[self.replica].mode == ReplicaMode::Hanging
     }
 
-    /// Answers as soon as something changed after the revision asked for, or when `wait` is over.
+    /// Returns the changes as soon as there are any after the requested revision, or an empty
+    /// answer once `wait` is over.
     ///
     /// A reader that knows a higher revision than the replica is answered only at the end of its
-    /// wait, as a real service that sees nothing new for the reader would.
+    /// wait, because like a real service the replica has nothing new for it.
     async fn wait_for_changes(&self, query: &ChangesQuery, wait: Duration) -> Changes {
         let mut changed = self.shared.changed.subscribe();
-        let until = tokio::time::Instant::now() + wait;
+        let deadline = tokio::time::Instant::now() + wait;
         loop {
             let answer = self.changes_now(query);
-            if !answer.values.is_empty() || self.is_ending() {
+            if !answer.values.is_empty() || self.must_answer_now() {
                 return answer;
             }
-            if !matches!(timeout_at(until, changed.changed()).await, Ok(Ok(()))) {
+            if !matches!(timeout_at(deadline, changed.changed()).await, Ok(Ok(()))) {
                 return self.changes_now(query);
             }
-            self.hang().await;
+            self.wait_while_hanging().await;
         }
     }
 
-    /// A reader left waiting at a replica that went down is let go; its connection is cut when the
-    /// answer is written. A platform that stops lets its readers go with a whole answer.
-    fn is_ending(&self) -> bool {
+    /// Returns whether waiting readers must be answered even without changes.
+    ///
+    /// This is so at a replica that went down, where the connection is cut when the answer is
+    /// written, and at a platform that stops, where the reader gets a complete answer.
+    fn must_answer_now(&self) -> bool {
         let state = self.shared.lock();
         state.is_stopping || state.replicas[self.replica].mode == ReplicaMode::Down
     }
@@ -256,7 +259,7 @@
     request.remote_addr().as_socket_addr().copied()
 }
 
-/// Answer to a publisher.
+/// Answer to a publication.
 #[derive(Debug, Serialize)]
 struct PublishAnswer {
     revision: Revision,
@@ -280,7 +283,7 @@
     shared.changed.send_replace(());
     let (status, revision) = match published {
         Ok(revision) => (StatusCode::OK, revision),
-        Err(refused) => (StatusCode::PRECONDITION_FAILED, refused.found),
+        Err(mismatch) => (StatusCode::PRECONDITION_FAILED, mismatch.current),
     };
     let answer = Json(PublishAnswer { revision });
     Ok(answer.with_status(status).into_response())
@@ -298,7 +301,7 @@
 fn publish_later(shared: Arc<Shared>, name: String, content: String, delay: Duration) {
     tokio::spawn(async move {
         tokio::time::sleep(delay).await;
-        // Without an expected revision publishing can't be refused.
+        // Publishing without an expected revision cannot fail.
         let _ = shared.lock().store.publish(&name, content, None);
         shared.changed.send_replace(());
     });
@@ -308,7 +311,7 @@
 async fn set_control(Json(message): Json<PlatformControl>, Data(shared): Data<&Arc<Shared>>) {
     match message {
         PlatformControl::Fault(fault) => set_fault(shared, &fault),
-        PlatformControl::RollBack(to) => shared.lock().store.roll_back(to.revision),
+        PlatformControl::RollBack(rollback) => shared.lock().store.roll_back(rollback.revision),
         PlatformControl::Delay(delay) => {
             let wait = Duration::from_millis(delay.delay_ms);
             shared.lock().delays.insert(delay.name, wait);
@@ -321,7 +324,7 @@
 fn set_fault(shared: &Shared, fault: &ReplicaFault) {
     let mut state = shared.lock();
     for (index, replica) in state.replicas.iter_mut().enumerate() {
-        if fault.replica.is_some_and(|wanted| wanted != index) {
+        if fault.replica.is_some_and(|selected| selected != index) {
             continue;
         }
         match &fault.fault {
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Published values in the order of their revisions.
+//! Store of published values, ordered by revision.
 
 use std::collections::BTreeMap;
 
@@ -7,35 +7,35 @@
 
 /// One version of one published value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Published {
-    /// The value's name, such as `rules` or `targets.recipe-desk`.
+pub struct PublishedValue {
+    /// Name of the value, such as `rules` or `targets.recipe-desk`.
     pub name: String,
-    /// When it last changed.
+    /// Revision of this version.
     pub revision: Revision,
-    /// The value itself.
+    /// Content of this version.
     pub content: String,
 }
 
-/// When a publisher's expectation of the revision in force does not hold.
+/// Error when a value does not have the revision that its publisher expected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Refused {
-    /// The revision that the value really has.
-    pub found: Revision,
+pub struct RevisionMismatch {
+    /// Current revision of the value.
+    pub current: Revision,
 }
 
-/// Every version ever published, under one revision counter.
+/// All published versions of all values, under one revision counter.
 #[derive(Debug, Clone, Default)]
 pub struct Store {
-    history: Vec<Published>,
+    history: Vec<PublishedValue>,
 }
 
 impl Store {
-    /// Starts with nothing published.
+    /// Creates an empty store.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The newest revision.
+    /// Returns the newest revision.
     pub fn revision(&self) -> Revision {
         self.history.last().map_or(Revision::NONE, |change| change.revision)
     }
@@ -43,44 +43,46 @@
     /// Publishes `content` under the next revision.
     ///
     /// # Errors
-    /// When `expected` is given and is not the value's present revision.
+    /// Returns an error if `expected` is given and is not the current revision of the value.
     pub fn publish(
         &mut self,
         name: &str,
         content: String,
         expected: Option<Revision>,
-    ) -> Result<Revision, Refused> {
-        let found = self.get(name, self.revision()).map_or(Revision::NONE, |value| value.revision);
-        if expected.is_some_and(|expected| expected != found) {
-            return Err(Refused { found });
+    ) -> Result<Revision, RevisionMismatch> {
+        let current =
+            self.get(name, self.revision()).map_or(Revision::NONE, |value| value.revision);
+        if expected.is_some_and(|expected| expected != current) {
+            return Err(RevisionMismatch { current });
         }
         let revision = Revision::new(self.revision().value() + 1);
-        self.history.push(Published { name: name.to_owned(), revision, content });
+        self.history.push(PublishedValue { name: name.to_owned(), revision, content });
         Ok(revision)
     }
 
-    /// The value's version in force at `as_of`.
-    pub fn get(&self, name: &str, as_of: Revision) -> Option<&Published> {
-        let seen = self.history.iter().rev().filter(|change| change.revision <= as_of);
-        seen.into_iter().find(|change| change.name == name)
+    /// Returns the version of a value that was in force at revision `as_of`.
+    pub fn get(&self, name: &str, as_of: Revision) -> Option<&PublishedValue> {
+        let visible = self.history.iter().rev().filter(|change| change.revision <= as_of);
+        visible.into_iter().find(|change| change.name == name)
     }
 
-    /// The newest versions that changed after `after` and at latest at `as_of`, by revision.
-    pub fn changes(&self, after: Revision, as_of: Revision, prefix: &str) -> Vec<Published> {
-        let mut newest: BTreeMap<&str, &Published> = BTreeMap::new();
+    /// Returns the newest versions of the values that changed after `after` and no later than
+    /// `as_of`, sorted by revision.
+    pub fn changes(&self, after: Revision, as_of: Revision, prefix: &str) -> Vec<PublishedValue> {
+        let mut newest: BTreeMap<&str, &PublishedValue> = BTreeMap::new();
         for change in &self.history {
-            let wanted = change.revision > after && change.revision <= as_of;
-            if wanted && change.name.starts_with(prefix) {
+            let is_in_range = change.revision > after && change.revision <= as_of;
+            if is_in_range && change.name.starts_with(prefix) {
                 newest.insert(&change.name, change);
             }
         }
-        let mut values: Vec<Published> = newest.into_values().cloned().collect();
+        let mut values: Vec<PublishedValue> = newest.into_values().cloned().collect();
         values.sort_by_key(|value| value.revision);
         values
     }
 
-    /// Forgets every version after `to`, as a service restored from a backup does; the revisions
-    /// are given out again.
+    /// Discards all versions after `to`, as a restore from a backup does. The discarded revisions
+    /// are assigned again.
     pub fn roll_back(&mut self, to: Revision) {
         self.history.retain(|change| change.revision <= to);
     }
--- a/crates/standin/src/ready.rs
+++ b/crates/standin/src/ready.rs
@@ -1,20 +1,21 @@
-//! The line that a started program prints, so that whoever started it learns its ports.
+//! Line that a stand-in prints after startup, from which the process that started it learns its
+//! ports.
 
 use std::io::{self, Write};
 
 use serde::{Deserialize, Serialize};
 use shallotfork_types::Endpoint;
 
-/// What a stand-in prints as one JSON line as soon as its ports are bound.
+/// Addresses of a stand-in, printed as one JSON line as soon as its ports are bound.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ready {
-    /// Always true; it tells this line from log lines.
+    /// Always true; distinguishes this line from log lines.
     pub ready: bool,
-    /// Where requests are taken; the first replica's for a platform.
+    /// Address that accepts requests; that of the first replica for a platform.
     pub address: Endpoint,
-    /// Where faults are set and records read.
+    /// Control address, to set faults and read records.
     pub control: Endpoint,
-    /// Every replica's address, of a platform.
+    /// Addresses of all replicas of a platform; empty for a target.
     #[serde(default)]
     pub replicas: Vec<Endpoint>,
 }
@@ -22,7 +23,7 @@
 /// Prints the ready line on standard output.
 ///
 /// # Errors
-/// When standard output is closed.
+/// Returns an error if the line cannot be written, as when standard output is closed.
 pub fn print_ready(ready: &Ready) -> io::Result<()> {
     let line = serde_json::to_string(ready)?;
     let mut out = io::stdout().lock();
--- a/crates/standin/src/target/faults.rs
+++ b/crates/standin/src/target/faults.rs
@@ -1,51 +1,52 @@
-//! What a test makes a target do wrong.
+//! Faults that a test injects into a target.
 
 use serde::{Deserialize, Serialize};
 
 use crate::net::ConnectionFaults;
 
-/// A neighbour on the same host that takes the processor away in turns.
+/// A noisy neighbour on the same host, which periodically takes processor time from the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Noise {
-    /// Length of each quiet and of each noisy turn.
+    /// Length of each quiet and of each noisy turn, in milliseconds.
     pub turn_ms: u64,
-    /// Service time during a noisy turn, in thousandths of the usual.
+    /// Service time during a noisy turn, in thousandths of the usual service time.
     pub slowdown_permille: u64,
 }
 
-/// How load reports mislead.
+/// Faults of load reports.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ReportFault {
-    /// Utilisation reported whatever the load is.
+    /// Utilization to report regardless of the load, in thousandths.
     pub utilization_permille: Option<u64>,
-    /// Reports describe the load this long ago.
+    /// Age of the load that reports describe, in milliseconds.
     pub lag_ms: u64,
-    /// No report rides on answers.
+    /// Whether answers carry no load report.
     pub missing: bool,
 }
 
-/// Faults of one target; the default is none.
+/// Faults of one target; there are none by default.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TargetFaults {
-    /// The target says that it is leaving and counts what still arrives.
+    /// The target reports that it is draining and counts requests that still arrive.
     pub draining: bool,
-    /// Every request is refused before it starts.
+    /// Every request is shed before it starts.
     pub shed: bool,
-    /// Every request fails at once with this status, as with a broken dependency.
+    /// Every request fails immediately with this status, as with a broken dependency.
     pub fail_status: Option<u16>,
-    /// Requests are taken and nothing happens until the fault is lifted.
+    /// Requests are accepted but not processed until the fault is cleared.
     pub frozen: bool,
-    /// Service time in thousandths of the usual; a straggler has more than 1000.
+    /// Service time in thousandths of the usual service time; more than 1000 for a straggler.
     pub slowdown_permille: u64,
-    /// Service times are ten times as long for this long after the fault is set.
+    /// Time after the fault is set during which service times are ten times as long, in
+    /// milliseconds.
     pub cold_ms: u64,
-    /// A noisy neighbour.
+    /// Noisy neighbour on the same host, if any.
     pub noise: Option<Noise>,
-    /// Answers leave this long after the work is done and the slot is free.
+    /// Delay of the answer after the work is done and the slot is released, in milliseconds.
     pub late_ms: u64,
-    /// Misleading reports.
+    /// Faults of load reports.
     pub report: ReportFault,
     /// Faults of connections.
     pub connections: ConnectionFaults,
--- a/crates/standin/src/target/load.rs
+++ b/crates/standin/src/target/load.rs
@@ -1,4 +1,4 @@
-//! Load reports, and the lag with which they are seen.
+//! Load reports and their simulated lag.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -6,25 +6,25 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Header that carries a load report on an answer, as the Open Request Cost Aggregation project
-/// names it.
+/// Header that carries a load report on an answer, as defined by Open Request Cost Aggregation
+/// (ORCA).
 pub const LOAD_HEADER: &str = "endpoint-load-metrics";
 
-/// Samples kept for lagging reports.
+/// Maximum number of load samples kept for lagging reports.
 const SAMPLES_MAX: usize = 4096;
 
-/// A target's load at one moment.
+/// Load of a target at one point in time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
     /// Busy slots as a share of all slots, in thousandths.
     pub utilization_permille: u64,
-    /// Requests waiting for a slot.
+    /// Number of requests waiting for a slot.
     pub queue: u64,
-    /// Requests being served or waiting.
+    /// Number of requests being served or waiting.
     pub in_flight: u64,
-    /// Requests finished in the last second.
+    /// Number of requests finished in the last second.
     pub rps: u64,
-    /// Whether the target is leaving.
+    /// Whether the target is draining.
     pub draining: bool,
 }
 
@@ -46,14 +46,14 @@
     load: Load,
 }
 
-/// Past loads, for reports that lag.
+/// Past load samples, for lagging reports.
 #[derive(Debug, Default)]
 pub(super) struct LoadHistory {
     samples: VecDeque<Sample>,
 }
 
 impl LoadHistory {
-    /// Keeps the load at one moment.
+    /// Adds a load sample.
     pub(super) fn push(&mut self, load: Load, at: Instant) {
         if self.samples.len() == SAMPLES_MAX {
             self.samples.pop_front();
@@ -61,10 +61,11 @@
         self.samples.push_back(Sample { at, load });
     }
 
-    /// The load as it was `lag` before `now`; no load before the first sample.
-    pub(super) fn lagging(&self, lag: Duration, now: Instant) -> Load {
-        let old_enough = |sample: &&Sample| now.duration_since(sample.at) >= lag;
-        let sample = self.samples.iter().rev().find(old_enough);
+    /// Returns the load at `lag` before `now`, or a load of zero if that is before the first
+    /// sample.
+    pub(super) fn load_before(&self, lag: Duration, now: Instant) -> Load {
+        let is_old_enough = |sample: &&Sample| now.duration_since(sample.at) >= lag;
+        let sample = self.samples.iter().rev().find(is_old_enough);
         sample.map(|sample| sample.load).unwrap_or_default()
     }
 }
--- a/crates/standin/src/target/mod.rs
+++ b/crates/standin/src/target/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-in for a target: a server with few slots, a queue, costs and faults.
+//! Stand-in for a target: a server with a few slots, a queue, configurable costs and injectable
+//! faults.
 
 mod answer;
 mod config;
--- a/crates/standin/src/target/records.rs
+++ b/crates/standin/src/target/records.rs
@@ -1,4 +1,4 @@
-//! What a target saw and did.
+//! Records of the requests, runs and probes of a target.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -9,89 +9,90 @@
 
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Runs of the work named by one idempotency key.
+/// Number of runs with one idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRuns {
-    /// The key as it arrived.
+    /// Idempotency key as received.
     pub key: String,
-    /// Runs started.
+    /// Number of runs started.
     pub runs: u64,
 }
 
-/// Runs of the work that carried one mark.
+/// Number of runs with one mark.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MarkRuns {
-    /// The mark as it arrived.
+    /// Mark as received.
     pub mark: String,
-    /// Runs started.
+    /// Number of runs started.
     pub runs: u64,
 }
 
-/// A target's records, as its control port gives them.
+/// Records of a target, as returned by its control server.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetRecords {
-    /// Requests whose head arrived, probes aside.
+    /// Number of requests whose head was received, without probes.
     pub arrived: u64,
-    /// Requests that started.
+    /// Number of requests that started to run.
     pub runs: u64,
-    /// Runs that reached their end; the others were given up by the sender.
+    /// Number of runs that completed; the others were abandoned by the sender.
     pub completed: u64,
-    /// Requests refused before they started.
+    /// Number of requests shed before they started.
     pub shed: u64,
-    /// Requests failed by a fault.
+    /// Number of requests failed by a fault.
     pub failed: u64,
-    /// Runs by idempotency key.
+    /// Number of runs by idempotency key.
     pub runs_by_key: Vec<KeyRuns>,
-    /// Runs by mark.
+    /// Number of runs by mark.
     pub runs_by_mark: Vec<MarkRuns>,
-    /// Probes answered or begun.
+    /// Number of probes received.
     pub probes: u64,
-    /// The most probes in any window of one second.
+    /// Maximum number of probes in any window of one second.
     pub probes_max_in_second: u64,
-    /// For each request that came while draining, the time since draining began.
+    /// Time from the start of draining to the arrival of each request received while draining, in
+    /// milliseconds.
     pub arrived_after_drain_ms: Vec<u64>,
-    /// Connections.
+    /// Counts of connections.
     pub connections: ConnectionCounts,
 }
 
 impl TargetRecords {
-    /// Runs started under `key`.
+    /// Returns the number of runs started with `key`.
     pub fn runs_of_key(&self, key: &str) -> u64 {
         self.runs_by_key.iter().find(|runs| runs.key == key).map_or(0, |runs| runs.runs)
     }
 
-    /// Runs started with `mark`.
+    /// Returns the number of runs started with `mark`.
     pub fn runs_of_mark(&self, mark: &str) -> u64 {
         self.runs_by_mark.iter().find(|runs| runs.mark == mark).map_or(0, |runs| runs.runs)
     }
 }
 
-/// Counts as things happen.
+/// Records events as they occur.
 #[derive(Debug, Default)]
 pub(super) struct Recorder {
     totals: TargetRecords,
     by_key: BTreeMap<String, u64>,
     by_mark: BTreeMap<String, u64>,
-    recent_probes: VecDeque<Instant>,
-    recent_done: VecDeque<Instant>,
-    draining_since: Option<Instant>,
+    recent_probes_at: VecDeque<Instant>,
+    recent_completions_at: VecDeque<Instant>,
+    draining_started_at: Option<Instant>,
 }
 
 impl Recorder {
     pub(super) fn set_draining(&mut self, draining: bool, now: Instant) {
-        self.draining_since = draining.then(|| self.draining_since.unwrap_or(now));
+        self.draining_started_at = draining.then(|| self.draining_started_at.unwrap_or(now));
     }
 
-    pub(super) fn arrived(&mut self, now: Instant) {
+    pub(super) fn record_arrival(&mut self, now: Instant) {
         self.totals.arrived += 1;
-        if let Some(since) = self.draining_since {
-            let after_ms = now.duration_since(since).as_millis();
+        if let Some(started_at) = self.draining_started_at {
+            let after_ms = now.duration_since(started_at).as_millis();
             let after_ms = u64::try_from(after_ms).unwrap_or(u64::MAX);
             self.totals.arrived_after_drain_ms.push(after_ms);
         }
     }
 
-    pub(super) fn started(&mut self, key: Option<&str>, mark: Option<&str>) {
+    pub(super) fn record_start(&mut self, key: Option<&str>, mark: Option<&str>) {
         self.totals.runs += 1;
         if let Some(key) = key {
             *self.by_key.entry(key.to_owned()).or_default() += 1;
@@ -101,32 +102,32 @@
         }
     }
 
-    pub(super) fn completed(&mut self, now: Instant) {
+    pub(super) fn record_completion(&mut self, now: Instant) {
         self.totals.completed += 1;
-        self.recent_done.push_back(now);
-        forget_old(&mut self.recent_done, now);
+        self.recent_completions_at.push_back(now);
+        drop_expired(&mut self.recent_completions_at, now);
     }
 
-    pub(super) fn shed(&mut self) {
+    pub(super) fn record_shed(&mut self) {
         self.totals.shed += 1;
     }
 
-    pub(super) fn failed(&mut self) {
+    pub(super) fn record_failure(&mut self) {
         self.totals.failed += 1;
     }
 
-    pub(super) fn probed(&mut self, now: Instant) {
+    pub(super) fn record_probe(&mut self, now: Instant) {
         self.totals.probes += 1;
-        self.recent_probes.push_back(now);
-        forget_old(&mut self.recent_probes, now);
-        let recent = self.recent_probes.len() as u64;
-        self.totals.probes_max_in_second = self.totals.probes_max_in_second.max(recent);
+        self.recent_probes_at.push_back(now);
+        drop_expired(&mut self.recent_probes_at, now);
+        let probes_in_window = self.recent_probes_at.len() as u64;
+        self.totals.probes_max_in_second = self.totals.probes_max_in_second.max(probes_in_window);
     }
 
-    /// Requests finished in the last second.
+    /// Returns the number of requests finished in the last second.
     pub(super) fn rps(&mut self, now: Instant) -> u64 {
-        forget_old(&mut self.recent_done, now);
-        self.recent_done.len() as u64
+        drop_expired(&mut self.recent_completions_at, now);
+        self.recent_completions_at.len() as u64
     }
 
     pub(super) fn records(&self, connections: ConnectionCounts) -> TargetRecords {
@@ -145,8 +146,8 @@
     }
 }
 
-fn forget_old(times: &mut VecDeque<Instant>, now: Instant) {
-    while times.front().is_some_and(|then| now.duration_since(*then) >= WINDOW) {
+fn drop_expired(times: &mut VecDeque<Instant>, now: Instant) {
+    while times.front().is_some_and(|at| now.duration_since(*at) >= WINDOW) {
         times.pop_front();
     }
 }
--- a/crates/standin/src/target/serve.rs
+++ b/crates/standin/src/target/serve.rs
@@ -1,4 +1,4 @@
-//! The target stand-in's ports.
+//! HTTP interfaces of the target stand-in.
 
 use std::io;
 use std::sync::Arc;
@@ -17,12 +17,12 @@
 use super::work::{probe, work};
 use crate::net::{ConnectionCost, ConnectionState, FaultyAcceptor};
 
-/// A target stand-in that answers in the background of this process.
+/// A target stand-in that runs in the background of this process.
 #[derive(Debug)]
 pub struct RunningTarget {
-    /// Where requests and probes are taken.
+    /// Address that accepts requests and probes.
     pub address: Endpoint,
-    /// Where faults are set and records read.
+    /// Control address, to set faults and read records.
     pub control: Endpoint,
     state: Arc<TargetState>,
     stop: watch::Sender<bool>,
@@ -30,32 +30,33 @@
 }
 
 impl RunningTarget {
-    /// Drains for the grace, then takes nothing new, finishes what is in flight and ends.
+    /// Drains for the grace period, then accepts no new requests, finishes those in flight and
+    /// stops.
     ///
     /// # Errors
-    /// When the server failed.
-    pub async fn leave(self) -> io::Result<()> {
-        self.state.drain();
+    /// Returns an error if the server failed.
+    pub async fn drain_and_stop(self) -> io::Result<()> {
+        self.state.start_draining();
         tokio::time::sleep(self.state.config.grace).await;
         self.stop.send_replace(true);
         self.serving.await?
     }
 
-    /// Replaces every fault.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: TargetFaults) {
         self.state.set_faults(faults);
     }
 
-    /// What the target saw and did so far.
+    /// Returns the records so far.
     pub fn records(&self) -> TargetRecords {
         self.state.records()
     }
 }
 
-/// Starts a target and its control port on loopback ports chosen by the kernel.
+/// Starts a target and its control server on loopback ports chosen by the kernel.
 ///
 /// # Errors
-/// When a port can't be bound.
+/// Returns an error if a port cannot be bound.
 pub async fn serve_target(config: TargetConfig) -> io::Result<RunningTarget> {
     let state = Arc::new(TargetState::new(config));
     let (stop, mut stopped) = watch::channel(false);
@@ -67,7 +68,7 @@
         Route::new().at("/load", get(probe)).at("/", work).at("/*path", work).data(state.clone());
     let server = Server::new_with_acceptor(acceptor);
     let stop_signal = async move {
-        // Dropping the sender stops the server too.
+        // Dropping the sender also stops the server.
         let _ = stopped.wait_for(|stop| *stop).await;
     };
     let serving = tokio::spawn(server.run_with_graceful_shutdown(routes, stop_signal, None));
--- a/crates/standin/src/target/state.rs
+++ b/crates/standin/src/target/state.rs
@@ -1,4 +1,4 @@
-//! A target's state, shared by its handlers.
+//! State of a target, shared by its handlers.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,10 +14,10 @@
 use super::records::{Recorder, TargetRecords};
 use crate::net::ConnectionState;
 
-/// How much longer a cold target takes.
-const COLD_FACTOR: u32 = 10;
+/// Factor by which the service times of a cold target are longer.
+const COLD_SLOWDOWN: u32 = 10;
 
-/// Shared by the work, probe and control handlers of one target.
+/// State shared by the work, probe and control handlers of one target.
 #[derive(Debug)]
 pub(super) struct TargetState {
     pub(super) config: TargetConfig,
@@ -33,15 +33,15 @@
 #[derive(Debug, Clone, Copy)]
 struct FaultsInForce {
     faults: TargetFaults,
-    since: Instant,
+    set_at: Instant,
 }
 
-/// Counts one waiting request for as long as it lives.
-struct Waiting<'a> {
+/// Guard that counts one waiting request until it is dropped.
+struct WaitingGuard<'a> {
     waiting: &'a AtomicU64,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         self.waiting.fetch_sub(1, Ordering::Relaxed);
     }
@@ -49,7 +49,7 @@
 
 impl TargetState {
     pub(super) fn new(config: TargetConfig) -> Self {
-        let in_force = FaultsInForce { faults: TargetFaults::default(), since: Instant::now() };
+        let in_force = FaultsInForce { faults: TargetFaults::default(), set_at: Instant::now() };
         Self {
             slots: Arc::new(Semaphore::new(config.slots)),
             connections: ConnectionState::new(),
@@ -66,64 +66,64 @@
         self.faults.borrow().faults
     }
 
-    /// Replaces every fault.
+    /// Replaces all faults.
     pub(super) fn set_faults(&self, faults: TargetFaults) {
         let now = Instant::now();
         self.recorder().set_draining(faults.draining, now);
         self.connections.set_faults(faults.connections);
-        self.faults.send_replace(FaultsInForce { faults, since: now });
+        self.faults.send_replace(FaultsInForce { faults, set_at: now });
     }
 
     /// Adds draining to the faults in force.
-    pub(super) fn drain(&self) {
+    pub(super) fn start_draining(&self) {
         self.recorder().set_draining(true, Instant::now());
         self.faults.send_modify(|in_force| in_force.faults.draining = true);
     }
 
-    /// Waits while the target is frozen.
-    pub(super) async fn thaw(&self) {
+    /// Waits as long as the target is frozen.
+    pub(super) async fn wait_while_frozen(&self) {
         let mut faults = self.faults.subscribe();
-        // The sender lives as long as this state, so that waiting can't fail.
+        // The sender lives as long as this state, so waiting cannot fail.
         let _ = faults.wait_for(|in_force| !in_force.faults.frozen).await;
     }
 
-    /// Waits for a slot; nothing when the queue is full.
-    pub(super) async fn take_slot(&self) -> Option<OwnedSemaphorePermit> {
-        let before = self.waiting.fetch_add(1, Ordering::Relaxed);
-        let waiting = Waiting { waiting: &self.waiting };
-        if before >= self.config.queue_max as u64 && self.slots.available_permits() == 0 {
+    /// Waits for a slot; returns `None` if the queue is full.
+    pub(super) async fn acquire_slot(&self) -> Option<OwnedSemaphorePermit> {
+        let waiting_before = self.waiting.fetch_add(1, Ordering::Relaxed);
+        let waiting = WaitingGuard { waiting: &self.waiting };
+        if waiting_before >= self.config.queue_max as u64 && self.slots.available_permits() == 0 {
             return None;
         }
-        self.sample();
+        self.record_load_sample();
         let slot = self.slots.clone().acquire_owned().await.ok();
         drop(waiting);
-        self.sample();
+        self.record_load_sample();
         slot
     }
 
-    /// Draws how long the next request takes under the faults in force.
+    /// Returns a random service time for the next request, adjusted for the faults in force.
     pub(super) fn service_time(&self) -> Duration {
-        let time = self.draw();
-        self.slow_down(time)
+        let time = self.draw_service_time();
+        self.apply_slowdown(time)
     }
 
-    /// A given service time under the faults in force.
-    pub(super) fn slow_down(&self, time: Duration) -> Duration {
-        let FaultsInForce { faults, since } = *self.faults.borrow();
-        let age_ms = u64::try_from(since.elapsed().as_millis()).unwrap_or(u64::MAX);
-        let mut time = scale(time, faults.slowdown_permille);
+    /// Returns a service time adjusted for the faults in force.
+    pub(super) fn apply_slowdown(&self, time: Duration) -> Duration {
+        let FaultsInForce { faults, set_at } = *self.faults.borrow();
+        let age_ms = u64::try_from(set_at.elapsed().as_millis()).unwrap_or(u64::MAX);
+        let mut time = scale_by_permille(time, faults.slowdown_permille);
         if age_ms < faults.cold_ms {
-            time *= COLD_FACTOR;
+            time *= COLD_SLOWDOWN;
         }
         match faults.noise {
             Some(noise) if (age_ms / noise.turn_ms.max(1)) % 2 == 1 => {
-                scale(time, noise.slowdown_permille)
+                scale_by_permille(time, noise.slowdown_permille)
             }
             _ => time,
         }
     }
 
-    fn draw(&self) -> Duration {
+    fn draw_service_time(&self) -> Duration {
         match self.config.service_time {
             ServiceTime::Constant(time) => time,
             ServiceTime::Exponential(mean) => {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// The load now.
+    /// Returns the current load.
     pub(super) fn load(&self) -> Load {
         let busy = self.config.slots.saturating_sub(self.slots.available_permits());
         let queue = self.waiting.load(Ordering::Relaxed);
@@ -147,8 +147,8 @@
         }
     }
 
-    /// The load that the target reports, which faults may falsify; nothing when reports are
-    /// missing.
+    /// Returns the load that the target reports, which faults may falsify; `None` if a fault
+    /// suppresses reports.
     pub(super) fn reported_load(&self) -> Option<Load> {
         let faults = self.faults();
         if faults.report.missing {
@@ -157,11 +157,11 @@
         let mut load = self.load();
         if faults.report.lag_ms > 0 {
             let lag = Duration::from_millis(faults.report.lag_ms);
-            load = self.history().lagging(lag, Instant::now());
+            load = self.history().load_before(lag, Instant::now());
             load.draining = faults.draining;
         }
-        if let Some(lie) = faults.report.utilization_permille {
-            load = Load { utilization_permille: lie, queue: 0, in_flight: 0, ..load };
+        if let Some(reported) = faults.report.utilization_permille {
+            load = Load { utilization_permille: reported, queue: 0, in_flight: 0, ..load };
         }
         Some(load)
     }
@@ -174,7 +174,7 @@
         self.recorder().records(self.connections.counts())
     }
 
-    /// Forgets what was recorded, but not that the target is draining.
+    /// Resets all records, but keeps the target draining if it is.
     pub(super) fn reset_records(&self) {
         let draining = self.faults().draining;
         let mut recorder = self.recorder();
@@ -182,7 +182,7 @@
         recorder.set_draining(draining, Instant::now());
     }
 
-    fn sample(&self) {
+    fn record_load_sample(&self) {
         if self.faults().report.lag_ms == 0 {
             return;
         }
@@ -195,7 +195,7 @@
     }
 }
 
-fn scale(time: Duration, permille: u64) -> Duration {
+fn scale_by_permille(time: Duration, permille: u64) -> Duration {
     let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
     Duration::from_micros(micros.saturating_mul(permille) / 1000)
 }
--- a/crates/standin/src/target/work.rs
+++ b/crates/standin/src/target/work.rs
@@ -1,4 +1,4 @@
-//! The work that a target does for one request.
+//! Handlers for requests and probes of a target.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,46 +12,46 @@
 use super::state::TargetState;
 use crate::digest::content_digest;
 
-/// Header with a caller's mark, echoed in the answer.
+/// Header that carries a mark of the caller, echoed in the answer.
 pub const MARK_HEADER: &str = "standin-mark";
-/// Header with the size of the filler wanted in the answer.
+/// Header that sets the size of the filler in the answer, in bytes.
 pub const SIZE_HEADER: &str = "standin-size-bytes";
-/// Header with the service time wanted, in microseconds.
+/// Header that sets the service time, in microseconds.
 pub const SERVICE_US_HEADER: &str = "standin-service-us";
-/// Header with the status wanted.
+/// Header that sets the status of the answer.
 pub const STATUS_HEADER: &str = "standin-status";
-/// Header of answers with the target's id.
+/// Header that carries the id of the target on an answer.
 pub const TARGET_HEADER: &str = "standin-target";
-/// Header with the caller's name for a non-idempotent operation.
+/// Header that carries the idempotency key of a non-idempotent operation.
 const KEY_HEADER: &str = "idempotency-key";
 
-/// Largest body taken.
+/// Maximum size of a request body.
 const BODY_MAX_BYTES: usize = 64 * 1024 * 1024;
-/// Largest filler given.
+/// Maximum size of the filler in an answer.
 const FILLER_MAX_BYTES: usize = 16 * 1024 * 1024;
 
-/// Body of a target's answer.
+/// Body of an answer from a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkAnswer {
-    /// The request's mark.
+    /// Mark of the request.
     pub mark: Option<String>,
-    /// The target's id.
+    /// Id of the target.
     pub target: String,
-    /// The request's method.
+    /// Method of the request.
     pub method: String,
-    /// The request's path.
+    /// Path of the request.
     pub path: String,
-    /// Digest of the body that arrived.
+    /// Digest of the received request body.
     pub received_digest: String,
-    /// Size of the body that arrived.
+    /// Size of the received request body, in bytes.
     pub received_bytes: u64,
-    /// As many letters as the request asked for.
+    /// Filler of the size set by the request.
     pub filler: String,
 }
 
-/// What a request asks of the stand-in.
+/// Parameters of a request, read from its head.
 #[derive(Debug)]
-struct Asked {
+struct RequestParams {
     method: Method,
     path: String,
     mark: Option<String>,
@@ -61,7 +61,7 @@
     status: StatusCode,
 }
 
-impl Asked {
+impl RequestParams {
     fn new(request: &Request) -> Self {
         let number = |name| request.header(name).and_then(|text| text.parse::<u64>().ok());
         let size_bytes = number(SIZE_HEADER).unwrap_or(0);
@@ -78,69 +78,70 @@
     }
 }
 
-/// Serves a request: read, queue, run, answer.
+/// Serves a request: reads it, waits for a slot, runs it and answers.
 #[handler]
 pub(super) async fn work(
     request: &Request,
     body: Body,
     Data(state): Data<&Arc<TargetState>>,
 ) -> Response {
-    let asked = Asked::new(request);
-    state.recorder().arrived(Instant::now());
+    let params = RequestParams::new(request);
+    state.recorder().record_arrival(Instant::now());
     let Ok(received) = body.into_bytes_limit(BODY_MAX_BYTES).await else {
         return empty_answer(state, StatusCode::BAD_REQUEST);
     };
-    let response = run(state, &asked, &received).await;
-    with_mark(response, asked.mark.as_deref())
+    let response = run(state, &params, &received).await;
+    with_mark(response, params.mark.as_deref())
 }
 
-async fn run(state: &TargetState, asked: &Asked, received: &[u8]) -> Response {
-    state.thaw().await;
+async fn run(state: &TargetState, params: &RequestParams, received: &[u8]) -> Response {
+    state.wait_while_frozen().await;
     let faults = state.faults();
     if faults.shed {
-        return shed(state);
+        return shed_request(state);
     }
     if let Some(status) = faults.fail_status {
-        state.recorder().failed();
+        state.recorder().record_failure();
         return empty_answer(state, StatusCode::from_u16(status).unwrap_or_default());
     }
-    let Some(slot) = state.take_slot().await else {
-        return shed(state);
+    let Some(slot) = state.acquire_slot().await else {
+        return shed_request(state);
     };
-    state.recorder().started(asked.key.as_deref(), asked.mark.as_deref());
-    let time = asked.service.map_or_else(|| state.service_time(), |time| state.slow_down(time));
+    state.recorder().record_start(params.key.as_deref(), params.mark.as_deref());
+    let time =
+        params.service.map_or_else(|| state.service_time(), |time| state.apply_slowdown(time));
     tokio::time::sleep(time).await;
-    state.recorder().completed(Instant::now());
+    state.recorder().record_completion(Instant::now());
     drop(slot);
     tokio::time::sleep(Duration::from_millis(faults.late_ms)).await;
-    state.thaw().await;
+    state.wait_while_frozen().await;
     let body = WorkAnswer {
-        mark: asked.mark.clone(),
+        mark: params.mark.clone(),
         target: state.config.id.to_string(),
-        method: asked.method.to_string(),
-        path: asked.path.clone(),
+        method: params.method.to_string(),
+        path: params.path.clone(),
         received_digest: content_digest(received),
         received_bytes: received.len() as u64,
-        filler: "s".repeat(asked.size_bytes),
+        filler: "s".repeat(params.size_bytes),
     };
-    answer(state, asked.status, &body)
+    answer(state, params.status, &body)
 }
 
-fn shed(state: &TargetState) -> Response {
-    state.recorder().shed();
+fn shed_request(state: &TargetState) -> Response {
+    state.recorder().record_shed();
     let status = StatusCode::from_u16(state.config.shed_status).unwrap_or_default();
     let mut response = empty_answer(state, status);
     response.headers_mut().insert("retry-after", poem::http::HeaderValue::from_static("1"));
     response
 }
 
-/// Answers a probe, which takes a slot as work does.
+/// Answers a probe, which holds a slot while it runs, as a request does.
 #[handler]
 pub(super) async fn probe(Data(state): Data<&Arc<TargetState>>) -> Response {
-    state.recorder().probed(Instant::now());
-    state.thaw().await;
+    state.recorder().record_probe(Instant::now());
+    state.wait_while_frozen().await;
     let slot = state.slots.acquire().await;
-    tokio::time::sleep(state.config.probe).await;
+    tokio::time::sleep(state.config.probe_duration).await;
     drop(slot);
     let load = state.reported_load().unwrap_or_default();
     let mut response = empty_answer(state, StatusCode::OK);
--- a/crates/standin/tests/load.rs
+++ b/crates/standin/tests/load.rs
@@ -1,10 +1,10 @@
-//! Scenarios, planned arrivals and the computed baseline.
+//! Tests of scenario files, planned arrivals and the computed baseline.
 
 use std::time::Duration;
 
 use shallotfork_standin::load::{FaultKind, Row, Scenario, arrivals, central_queue, table};
 
-const FILES: [&str; 4] = [
+const SCENARIO_FILES: [&str; 4] = [
     include_str!("../../../scenarios/register-straggler.ini"),
     include_str!("../../../scenarios/register-healthy.ini"),
     include_str!("../../../scenarios/register-faults.ini"),
@@ -12,12 +12,12 @@
 ];
 
 fn scenario(file: usize) -> Scenario {
-    FILES[file].parse().expect("a valid scenario")
+    SCENARIO_FILES[file].parse().expect("a valid scenario")
 }
 
 #[test]
 fn every_scenario_file_is_valid() {
-    for file in 0..FILES.len() {
+    for file in 0..SCENARIO_FILES.len() {
         let scenario = scenario(file);
         assert!(scenario.warm_up < scenario.length, "{}", scenario.name);
         let targets = scenario.service.targets.max(scenario.entries);
@@ -27,29 +27,29 @@
 }
 
 #[test]
-fn an_unknown_fault_is_refused_with_its_name() {
-    let text = FILES[0].replace("kind = straggler", "kind = strangler");
+fn unknown_fault_kind_is_named_in_error() {
+    let text = SCENARIO_FILES[0].replace("kind = straggler", "kind = strangler");
     let error = text.parse::<Scenario>().expect_err("no such fault");
     assert!(format!("{error:#}").contains("strangler"), "{error:#}");
 }
 
 #[test]
-fn one_seed_gives_the_same_arrivals_at_the_rate_asked_for() {
+fn arrivals_are_reproducible_and_match_rate() {
     let scenario = scenario(0);
     let planned = arrivals(&scenario);
     assert_eq!(planned, arrivals(&scenario));
-    let expected = scenario.service.rate_a_second() * scenario.length.as_secs_f64();
+    let expected = scenario.service.arrivals_per_second() * scenario.length.as_secs_f64();
     let ratio = planned.len() as f64 / expected;
-    assert!((0.95..1.05).contains(&ratio), "{ratio} of the arrivals asked for");
+    assert!((0.95..1.05).contains(&ratio), "{ratio} of the expected arrivals");
     let work: Duration = planned.iter().map(|arrival| arrival.work).sum();
     let mean = work.as_secs_f64() / planned.len() as f64;
     let ratio = mean / scenario.service.work.as_secs_f64();
-    assert!((0.95..1.05).contains(&ratio), "{ratio} of the work asked for");
+    assert!((0.95..1.05).contains(&ratio), "{ratio} of the expected work");
 }
 
-/// The baseline must be what no system can beat: with little load nobody waits in it.
+/// Guards against a baseline that a real system could beat: at low load no request may wait in it.
 #[test]
-fn the_central_queue_makes_nobody_wait_at_little_load() {
+fn central_queue_adds_no_wait_at_low_load() {
     let mut scenario = scenario(1);
     scenario.service.load = "100".parse().expect("a number");
     let planned = arrivals(&scenario);
--- a/crates/standin/tests/target.rs
+++ b/crates/standin/tests/target.rs
@@ -1,4 +1,4 @@
-//! The target stand-in over HTTP.
+//! Tests of the target stand-in over HTTP.
 #![expect(clippy::unwrap_used, reason = "a failed helper fails its test")]
 
 use std::time::{Duration, Instant};
@@ -13,12 +13,12 @@
 };
 use shallotfork_types::TargetId;
 
-struct Bench {
+struct TestTarget {
     target: RunningTarget,
     http: reqwest::Client,
 }
 
-impl Bench {
+impl TestTarget {
     async fn start() -> Self {
         let config = TargetConfig::new(TargetId::new("t1").unwrap());
         Self::start_with(TargetConfig { grace: Duration::from_millis(200), ..config }).await
@@ -40,10 +40,10 @@
 }
 
 #[tokio::test]
-async fn answers_with_mark_digest_and_load() {
-    let bench = Bench::start().await;
+async fn answer_carries_mark_digest_and_load_report() {
+    let test = TestTarget::start().await;
 
-    let answer = bench.get().header(SIZE_HEADER, "1000").send().await.unwrap();
+    let answer = test.get().header(SIZE_HEADER, "1000").send().await.unwrap();
     let headers = answer.headers().clone();
     let body = answer.bytes().await.unwrap();
 
@@ -56,25 +56,25 @@
 }
 
 #[tokio::test]
-async fn counts_runs_by_key_and_digests_uploads() {
-    let bench = Bench::start().await;
-    let url = format!("http://{}/orders", bench.target.address);
+async fn counts_runs_by_key_and_digests_request_bodies() {
+    let test = TestTarget::start().await;
+    let url = format!("http://{}/orders", test.target.address);
 
     for _ in 0..2 {
-        let request = bench.http.post(&url).header("idempotency-key", "k1").body("two drums");
+        let request = test.http.post(&url).header("idempotency-key", "k1").body("two drums");
         let work: WorkAnswer = request.send().await.unwrap().json().await.unwrap();
         assert_eq!(content_digest(b"two drums"), work.received_digest);
     }
 
-    assert_eq!(2, bench.target.records().runs_of_key("k1"));
+    assert_eq!(2, test.target.records().runs_of_key("k1"));
 }
 
 #[tokio::test]
-async fn two_slots_serve_four_requests_in_two_turns() {
-    let bench = Bench::start().await;
+async fn slots_limit_concurrent_requests() {
+    let test = TestTarget::start().await;
     let begin = Instant::now();
 
-    let request = || bench.get().header(SERVICE_US_HEADER, "100000").send();
+    let request = || test.get().header(SERVICE_US_HEADER, "100000").send();
     let answers = futures::future::join_all((0..4).map(|_| request())).await;
 
     assert!(answers.iter().all(Result::is_ok));
@@ -82,81 +82,81 @@
 }
 
 #[tokio::test]
-async fn a_shed_or_failed_request_is_not_run() {
-    let bench = Bench::start().await;
+async fn shed_and_failed_requests_do_not_run() {
+    let test = TestTarget::start().await;
 
-    bench.target.set_faults(TargetFaults { shed: true, ..TargetFaults::default() });
-    let shed = bench.get().send().await.unwrap().status();
-    bench.target.set_faults(TargetFaults { fail_status: Some(500), ..TargetFaults::default() });
-    let failed = bench.get().send().await.unwrap().status();
+    test.target.set_faults(TargetFaults { shed: true, ..TargetFaults::default() });
+    let shed = test.get().send().await.unwrap().status();
+    test.target.set_faults(TargetFaults { fail_status: Some(500), ..TargetFaults::default() });
+    let failed = test.get().send().await.unwrap().status();
 
     assert_eq!(StatusCode::SERVICE_UNAVAILABLE, shed);
     assert_eq!(StatusCode::INTERNAL_SERVER_ERROR, failed);
-    assert_eq!(0, bench.target.records().runs);
+    assert_eq!(0, test.target.records().runs);
 }
 
 #[tokio::test]
-async fn a_cut_answer_is_an_error_at_every_byte() {
-    let bench = Bench::start().await;
-    let whole = raw_answer(&bench).await;
+async fn answer_is_cut_at_configured_byte() {
+    let test = TestTarget::start().await;
+    let whole = raw_answer(&test).await;
     assert!(whole.ends_with(b"}"));
 
     for cut_at in [0, 1, 20, whole.len() as u64 - 1] {
         let connections =
             ConnectionFaults { cut_answer_at_bytes: Some(cut_at), ..ConnectionFaults::default() };
-        bench.target.set_faults(TargetFaults { connections, ..TargetFaults::default() });
-        let cut = raw_answer(&bench).await;
+        test.target.set_faults(TargetFaults { connections, ..TargetFaults::default() });
+        let cut = raw_answer(&test).await;
         assert_eq!(cut_at, cut.len() as u64);
     }
 }
 
-/// What arrives on a connection of its own until the target ends it.
-async fn raw_answer(bench: &Bench) -> Vec<u8> {
+/// Returns the bytes received on a new connection until the target closes it.
+async fn raw_answer(test: &TestTarget) -> Vec<u8> {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let address = bench.target.address.address();
+    let address = test.target.address.address();
     let mut stream = tokio::net::TcpStream::connect(address).await.unwrap();
     let request = "GET /card HTTP/1.1\r\nhost: recipe-desk\r\nconnection: close\r\n\r\n";
     stream.write_all(request.as_bytes()).await.unwrap();
     let mut received = Vec::new();
-    // A reset after the last byte is one of the ways in which a cut shows.
+    // A cut may show as a connection reset after the last byte.
     let _ = stream.read_to_end(&mut received).await;
     received
 }
 
 #[tokio::test]
-async fn a_connection_closed_while_the_request_is_read_runs_nothing() {
-    let bench = Bench::start().await;
+async fn request_does_not_run_if_connection_closes_during_read() {
+    let test = TestTarget::start().await;
     let connections =
         ConnectionFaults { close_after_read_bytes: Some(10), ..ConnectionFaults::default() };
-    bench.target.set_faults(TargetFaults { connections, ..TargetFaults::default() });
+    test.target.set_faults(TargetFaults { connections, ..TargetFaults::default() });
 
-    let answer = bench.get().send().await;
+    let answer = test.get().send().await;
 
     assert!(answer.is_err());
-    assert_eq!(0, bench.target.records().runs);
+    assert_eq!(0, test.target.records().runs);
 }
 
 #[tokio::test]
-async fn reports_lie_when_told_to() {
-    let bench = Bench::start().await;
+async fn load_report_shows_utilization_of_fault() {
+    let test = TestTarget::start().await;
     let report = ReportFault { utilization_permille: Some(10), ..ReportFault::default() };
-    bench.target.set_faults(TargetFaults { report, ..TargetFaults::default() });
+    test.target.set_faults(TargetFaults { report, ..TargetFaults::default() });
 
-    let answer = bench.get().send().await.unwrap();
+    let answer = test.get().send().await.unwrap();
 
     let load = answer.headers()[LOAD_HEADER].to_str().unwrap();
     assert!(load.starts_with("TEXT cpu_utilization=0.010"), "{load}");
 }
 
 #[tokio::test]
-async fn probes_and_connections_are_counted() {
-    let bench = Bench::start().await;
+async fn counts_probes_and_connections() {
+    let test = TestTarget::start().await;
     for _ in 0..3 {
-        let url = format!("http://{}/load", bench.target.address);
-        bench.http.get(url).send().await.unwrap().bytes().await.unwrap();
+        let url = format!("http://{}/load", test.target.address);
+        test.http.get(url).send().await.unwrap().bytes().await.unwrap();
     }
 
-    let records = bench.target.records();
+    let records = test.target.records();
 
     assert_eq!(3, records.probes);
     assert_eq!(1, records.connections.opened);
@@ -164,28 +164,28 @@
 }
 
 #[tokio::test]
-async fn a_leaving_target_finishes_what_is_in_flight() {
-    let bench = Bench::start().await;
-    let request = bench.get().header(SERVICE_US_HEADER, "400000").send();
+async fn drain_finishes_requests_in_flight() {
+    let test = TestTarget::start().await;
+    let request = test.get().header(SERVICE_US_HEADER, "400000").send();
     let request = tokio::spawn(request);
-    while bench.target.records().runs == 0 {
+    while test.target.records().runs == 0 {
         tokio::task::yield_now().await;
     }
 
-    bench.target.leave().await.unwrap();
+    test.target.drain_and_stop().await.unwrap();
 
     assert_eq!(StatusCode::OK, request.await.unwrap().unwrap().status());
 }
 
 #[tokio::test]
-async fn records_when_requests_came_after_draining_began() {
-    let bench = Bench::start().await;
-    bench.target.set_faults(TargetFaults { draining: true, ..TargetFaults::default() });
+async fn records_arrivals_after_draining_began() {
+    let test = TestTarget::start().await;
+    test.target.set_faults(TargetFaults { draining: true, ..TargetFaults::default() });
 
-    bench.get().send().await.unwrap();
-    let drained = bench.target.records();
-    bench.reset_records().await;
+    test.get().send().await.unwrap();
+    let drained = test.target.records();
+    test.reset_records().await;
 
     assert_eq!(1, drained.arrived_after_drain_ms.len());
-    assert_eq!(0, bench.target.records().arrived);
+    assert_eq!(0, test.target.records().arrived);
 }
