--- a/tests/tests/not_run_is_true.rs
+++ b/tests/tests/not_run_verdict.rs
@@ -1,4 +1,4 @@
-//! Whoever is told "not run" can rely on it: cuts at every byte between entry and target.
+//! Verdicts match what ran at the target when connections between entry and target fail at any byte.
 
 use anyhow::{Context, ensure};
 use bytes::Bytes;
@@ -10,17 +10,17 @@
 use shallotfork_types::{Endpoint, IdempotencyKey, ServiceName, Verdict};
 
 const BODY: Bytes = Bytes::from_static(b"two drums of saltbush pepper");
-/// More bytes than a request or an answer of these tests has; the tests end at the first whole one.
+/// Exceeds the size of every request and response here; each loop ends at the first complete one.
 const BYTES_MAX: u64 = 2000;
 
-/// Two entries before one target, without a limit on new connections, since every cut costs one.
-struct Bench {
+/// Two entries in front of one target, without a limit on new connections since every cut costs one.
+struct Fixture {
     running: Running,
     service: ServiceName,
     session: String,
 }
 
-impl Bench {
+impl Fixture {
     async fn start() -> anyhow::Result<Self> {
         let running = Case::new()
             .with_entries(2)
@@ -32,7 +32,7 @@
             .await?;
         let service: ServiceName = "order-desk".parse()?;
         let known = running.caller()?.entries(&service).await?;
-        let session = known.session.context("a session")?;
+        let session = known.session.context("no session issued")?;
         Ok(Self { running, service, session })
     }
 
@@ -61,81 +61,89 @@
     }
 }
 
-/// What a caller is told about one send, and whether the target agrees.
-fn check(report: &Report, runs: u64, what: &str) -> anyhow::Result<()> {
-    ensure!(runs <= 1, "{what}: ran {runs} times: {report:?}");
+/// Checks the verdict that a caller received for one send against the number of runs at the target.
+fn check_verdict(report: &Report, runs: u64, label: &str) -> anyhow::Result<()> {
+    ensure!(runs <= 1, "{label}: ran {runs} times: {report:?}");
     if report.success().is_some() {
-        ensure!(runs == 1, "{what}: a success without a run: {report:?}");
+        ensure!(runs == 1, "{label}: success without a run: {report:?}");
         return Ok(());
     }
-    let verdict = report.verdict().with_context(|| format!("{what}: no verdict: {report:?}"))?;
-    ensure!(verdict != Verdict::NotRun || runs == 0, "{what}: not-run, yet it ran: {report:?}");
-    ensure!(verdict != Verdict::Ran || runs == 1, "{what}: ran, yet it did not: {report:?}");
+    let verdict = report.verdict().with_context(|| format!("{label}: no verdict: {report:?}"))?;
+    ensure!(
+        verdict != Verdict::NotRun || runs == 0,
+        "{label}: verdict not-run, but it ran: {report:?}"
+    );
+    ensure!(
+        verdict != Verdict::Ran || runs == 1,
+        "{label}: verdict ran, but it did not run: {report:?}"
+    );
     Ok(())
 }
 
-/// A target closes the connection after so many bytes of an order without a key. Whatever the
-/// entry says, a second run would mill the order twice.
+/// A target closes the connection after a given number of bytes of an order without a key. The entry
+/// must not run the order twice, nor report a verdict that leads the caller to do so.
 #[tokio::test]
-async fn a_request_cut_at_any_byte_is_told_truly() -> anyhow::Result<()> {
-    let bench = Bench::start().await?;
+async fn request_cut_at_any_byte_gets_correct_verdict() -> anyhow::Result<()> {
+    let fixture = Fixture::start().await?;
     for cut in 1..BYTES_MAX {
         let close = ConnectionFaults { close_after_read_bytes: Some(cut), ..Default::default() };
-        bench.set_faults(close).await?;
+        fixture.set_faults(close).await?;
         let mark = format!("cut-{cut}");
 
-        let report = bench.send(cut, &bench.order(&mark)).await?;
+        let report = fixture.send(cut, &fixture.order(&mark)).await?;
 
-        let runs = bench.running.runs_of_mark(&mark).await?;
-        check(&report, runs, &mark)?;
+        let runs = fixture.running.runs_of_mark(&mark).await?;
+        check_verdict(&report, runs, &mark)?;
         if report.success().is_some() {
             return Ok(());
         }
     }
-    anyhow::bail!("no request came whole")
+    anyhow::bail!("no request arrived complete")
 }
 
-/// A target runs an order and its answer breaks off after so many bytes. The caller resends it
-/// under its key through the other entry, once the target is well again.
+/// A target runs an order and its response breaks off after a given number of bytes. The caller
+/// resends the order with the same key through the other entry once the target has recovered; it
+/// must not run twice.
 #[tokio::test]
-async fn an_order_whose_answer_is_cut_at_any_byte_runs_once() -> anyhow::Result<()> {
-    let bench = Bench::start().await?;
+async fn order_with_response_cut_at_any_byte_runs_once() -> anyhow::Result<()> {
+    let fixture = Fixture::start().await?;
     for cut in 0..BYTES_MAX {
         let close = ConnectionFaults { cut_answer_at_bytes: Some(cut), ..Default::default() };
-        bench.set_faults(close).await?;
+        fixture.set_faults(close).await?;
         let key = format!("order-{cut}");
-        let order = bench.keyed_order(&key)?;
-        let first = bench.send(cut, &order).await?;
-        bench.set_faults(ConnectionFaults::default()).await?;
+        let order = fixture.keyed_order(&key)?;
+        let first = fixture.send(cut, &order).await?;
+        fixture.set_faults(ConnectionFaults::default()).await?;
 
-        let second = bench.send(cut + 1, &order).await?;
+        let second = fixture.send(cut + 1, &order).await?;
 
-        let runs = bench.running.runs_of_key(&key).await?;
-        check(&first, runs, &key)?;
-        check(&second, runs, &key)?;
+        let runs = fixture.running.runs_of_key(&key).await?;
+        check_verdict(&first, runs, &key)?;
+        check_verdict(&second, runs, &key)?;
         if first.success().is_some() {
             return Ok(());
         }
     }
-    anyhow::bail!("no answer came whole")
+    anyhow::bail!("no response arrived complete")
 }
 
-/// A target sheds, refuses connections or is gone. Each may be told as "not run", and then holds.
+/// A target sheds requests or refuses connections. Such a request may get the verdict `not-run`, and
+/// must then not have run.
 #[tokio::test]
-async fn refusals_before_a_run_are_not_run() -> anyhow::Result<()> {
-    let bench = Bench::start().await?;
+async fn rejections_by_a_target_get_correct_verdict() -> anyhow::Result<()> {
+    let fixture = Fixture::start().await?;
     let refuse = ConnectionFaults { refuse: true, ..Default::default() };
     let faults = [
         ("shed", TargetFaults { shed: true, ..Default::default() }),
         ("refused", TargetFaults { connections: refuse, ..Default::default() }),
     ];
     for (name, faults) in faults {
-        bench.running.targets[0].set_faults(faults).await?;
+        fixture.running.targets[0].set_faults(faults).await?;
         for (number, keyed) in [(0, false), (1, true)] {
             let mark = format!("{name}-{number}");
-            let order = if keyed { bench.keyed_order(&mark)? } else { bench.order(&mark) };
-            let report = bench.send(number, &order).await?;
-            check(&report, bench.running.runs_of_mark(&mark).await?, &mark)?;
+            let order = if keyed { fixture.keyed_order(&mark)? } else { fixture.order(&mark) };
+            let report = fixture.send(number, &order).await?;
+            check_verdict(&report, fixture.running.runs_of_mark(&mark).await?, &mark)?;
             assert!(report.success().is_none(), "{mark}");
             if name == "shed" {
                 assert_eq!(Some(Verdict::NotRun), report.verdict(), "{mark}: {report:?}");
--- a/tests/tests/operators.rs
+++ b/tests/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' port with real processes.
+//! The operator port of running entry processes.
 
 use std::time::Duration;
 
@@ -8,10 +8,11 @@
 use shallotfork_types::Endpoint;
 use shallotfork_types::report::{AuditReport, LifeCycleState};
 
-const PAGES: [&str; 5] = ["/v1/ready", "/v1/status", "/v1/audit", "/v1/lists/rules", "/metrics"];
+const OPERATOR_PATHS: [&str; 5] =
+    ["/v1/ready", "/v1/status", "/v1/audit", "/v1/lists/rules", "/metrics"];
 const TOKEN: &str = "0123456789abcdef0123456789abcdef";
 
-async fn status_of(
+async fn get_status(
     address: Endpoint,
     path: &str,
     token: Option<&str>,
@@ -28,7 +29,7 @@
 }
 
 #[tokio::test]
-async fn status_and_audit_tell_what_is_in_force() -> anyhow::Result<()> {
+async fn status_and_audit_report_lists_in_force() -> anyhow::Result<()> {
     let running = start().await?;
     let entry = &running.entries[0];
 
@@ -69,10 +70,10 @@
     Ok(())
 }
 
-/// An operator judges by the status whether retries, hedges and probes stay within their budgets.
-/// Counts that stay at zero whatever is sent would hide a storm of them.
+/// Operators check in the status whether retries, hedges and probes stay within their budgets.
+/// Counters stuck at zero would hide a storm of them.
 #[tokio::test]
-async fn status_counts_what_is_sent_to_targets() -> anyhow::Result<()> {
+async fn status_counts_attempts_and_probes() -> anyhow::Result<()> {
     let case = Case::new().with_service("recipe-desk", 1).with_setting("vm", "probe_shares", "1");
     let running = case.start().await?;
     let entry = &running.entries[0];
@@ -82,7 +83,7 @@
     }
     let budgets = entry.status().await?.budgets;
     assert_eq!((3, 0), (budgets.attempts, budgets.retries), "{budgets:?}");
-    // Probes begin only after an answer that came when the process knew the target.
+    // Probing starts only after a response that arrived when the entry already knew the target.
     let caller = running.caller()?;
     wait_until("a probe is counted", async || {
         let counted = entry.status().await.is_ok_and(|status| status.budgets.probes > 0);
@@ -95,22 +96,22 @@
     .await
 }
 
-/// An entry is killed. An operator's alarm rests on the count of suspected entries of the others,
-/// which must follow what the status says.
+/// An entry is killed. Alerts rely on the other entries' metric of suspected entries, which must
+/// match their status.
 #[tokio::test]
 async fn metrics_count_suspected_entries() -> anyhow::Result<()> {
     let mut running = Case::new().with_entries(2).start().await?;
     running.entries[1].program.kill().await?;
-    let other = &running.entries[0];
-    let counted = "shallotd_entries{state=\"suspected\"} 1";
-    wait_until("the killed entry is counted", async || {
-        other.operator_get("/metrics").await.is_ok_and(|page| page.contains(counted))
+    let survivor = &running.entries[0];
+    let expected = "shallotd_entries{state=\"suspected\"} 1";
+    wait_until("the killed entry is counted as suspected", async || {
+        survivor.operator_get("/metrics").await.is_ok_and(|page| page.contains(expected))
     })
     .await
 }
 
 #[tokio::test]
-async fn a_guarded_port_answers_only_with_the_token() -> anyhow::Result<()> {
+async fn operator_port_requires_the_configured_token() -> anyhow::Result<()> {
     let file = std::env::temp_dir().join(format!("shallotfork-token-{}", std::process::id()));
     std::fs::write(&file, format!("{TOKEN}\n"))?;
     let case = Case::new().with_setting("operators", "token_file", &file.display().to_string());
@@ -118,32 +119,32 @@
     std::fs::remove_file(&file)?;
     let address = running.entries[0].ready.operators;
 
-    for page in PAGES {
-        let shorter = &TOKEN[..TOKEN.len() - 1];
-        let other = TOKEN.replace('f', "e");
-        for token in [None, Some(""), Some(shorter), Some(other.as_str())] {
-            let status = status_of(address, page, token).await?;
-            assert_eq!(StatusCode::UNAUTHORIZED, status, "{page} with {token:?}");
+    for path in OPERATOR_PATHS {
+        let truncated = &TOKEN[..TOKEN.len() - 1];
+        let wrong = TOKEN.replace('f', "e");
+        for token in [None, Some(""), Some(truncated), Some(wrong.as_str())] {
+            let status = get_status(address, path, token).await?;
+            assert_eq!(StatusCode::UNAUTHORIZED, status, "{path} with {token:?}");
         }
-        let status = status_of(address, page, Some(TOKEN)).await?;
-        assert_ne!(StatusCode::UNAUTHORIZED, status, "{page}");
+        let status = get_status(address, path, Some(TOKEN)).await?;
+        assert_ne!(StatusCode::UNAUTHORIZED, status, "{path}");
     }
     Ok(())
 }
 
-/// A caller tries the operators' pages on the callers' port. It must learn nothing there: neither
-/// with the address as host, nor by naming a service like a page.
+/// A caller requests operator paths on the caller port. Neither the address as host nor a service's
+/// host with such a path may reach the operator pages.
 #[tokio::test]
-async fn callers_cannot_reach_operators_pages() -> anyhow::Result<()> {
+async fn callers_cannot_reach_operator_pages() -> anyhow::Result<()> {
     let running = start().await?;
     let entry = &running.entries[0];
 
-    for page in PAGES {
-        assert_eq!(StatusCode::NOT_FOUND, status_of(entry.ready.callers, page, None).await?);
-        let call = Call::get("recipe-desk".parse()?, page);
+    for path in OPERATOR_PATHS {
+        assert_eq!(StatusCode::NOT_FOUND, get_status(entry.ready.callers, path, None).await?);
+        let call = Call::get("recipe-desk".parse()?, path);
         let report = running.caller()?.send_to(entry.ready.callers, &call).await;
         let answered_by_target = report.success().is_some_and(|answer| answer.target.is_some());
-        assert!(answered_by_target, "{page}: {report:?}");
+        assert!(answered_by_target, "{path}: {report:?}");
     }
     Ok(())
 }
--- a/tests/tests/platform_calls.rs
+++ b/tests/tests/platform_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform stay within the cap, over all entries together.
+//! The calls of all entries to the platform stay within the cap in total.
 
 use std::time::{Duration, Instant};
 
@@ -9,11 +9,12 @@
 const CALLS_PER_S: u64 = 4;
 const CHANGES: u32 = 40;
 
-/// An operator's script publishes change after change, then the service hangs and comes back;
-/// one entry is paused meanwhile and wakes with calls to catch up on. Each change wakes every waiting reader, and every reader asks again at once. The service
-/// would be overrun; each entry's cap keeps the sum within what the users allow.
+/// A script publishes many changes in a row; then the platform hangs and recovers while one entry is
+/// paused and resumes with calls to catch up on. Each change wakes every waiting reader, and every
+/// reader reads again at once, which would overload the platform. Each entry caps its calls so that
+/// the total stays within what the users allow.
 #[tokio::test]
-async fn bursts_of_changes_hangs_and_pauses_stay_within_the_cap() -> anyhow::Result<()> {
+async fn platform_calls_stay_within_the_cap() -> anyhow::Result<()> {
     let case = Case::new()
         .with_entries(ENTRIES)
         .with_service("recipe-desk", 1)
@@ -32,7 +33,7 @@
     }
     platform.set_mode(ReplicaMode::Hanging).await?;
     let before = platform.counts().await?.total;
-    wait_until("entries try again", async || {
+    wait_until("entries call the hanging platform again", async || {
         platform.counts().await.is_ok_and(|counts| counts.total >= before + ENTRIES as u64)
     })
     .await?;
@@ -44,7 +45,7 @@
 
     let counts = platform.counts().await?;
     let lasted_s = begin.elapsed().as_secs_f64();
-    // Evenly spaced calls: any window holds at most one more than the rate from each entry.
+    // Each entry spaces its calls evenly, so any one-second window holds at most one call above its rate.
     let entries = ENTRIES as u64;
     let in_second_max = (CALLS_PER_S + 1) * entries;
     let total_max = (CALLS_PER_S as f64 * lasted_s).ceil() as u64 * entries + entries;
--- a/tests/tests/whole_and_own.rs
+++ b/tests/tests/response_integrity.rs
@@ -1,4 +1,4 @@
-//! Every answer is whole and the request's own; every verdict agrees with the target's count.
+//! Every response is complete and belongs to its request; every verdict matches the runs at targets.
 
 use std::time::{Duration, Instant};
 
@@ -10,42 +10,41 @@
 use shallotfork_tests::{Case, Running, Traffic, TrafficConfig, TrafficReport, wait_until};
 use shallotfork_types::{IdempotencyKey, ServiceName, Verdict};
 
-/// Distance of the positions tried; it is prime, so that it falls in step with nothing.
+/// Distance between the cut positions tried, in bytes; prime, so that it aligns with no structure.
 const CUT_STEP: usize = 7;
-/// Beyond the end of every request and answer of these tests.
+/// Last cut position in bytes, beyond the end of every request and response of these tests.
 const CUT_END: u64 = 1000;
-/// Callers of each kind.
+/// Number of callers of each kind.
 const CALLERS: usize = 12;
 const REQUESTS_UNDER_FAULTS: u64 = 3000;
-/// A hasty caller's patience, as a multiple of what a read takes on this machine while nothing
-/// else runs.
-const HASTY_LATENCIES: u32 = 3;
-const LATENCIES_TAKEN: usize = 15;
+/// Timeout of an impatient caller, as a multiple of the latency of a read on the machine at rest.
+const IMPATIENT_TIMEOUT_FACTOR: u32 = 3;
+const LATENCY_SAMPLES: usize = 15;
 const RULES: &str = "[everything]\nthen.hedge = yes\nthen.retries = 2\nthen.deadline_ms = 4000\n";
 
-struct Bench {
+struct Fixture {
     running: Running,
     caller: Caller,
     service: ServiceName,
 }
 
-impl Bench {
+impl Fixture {
     async fn start(case: Case) -> anyhow::Result<Self> {
         let running = case.start().await?;
         let config = CallerConfig::new(running.caller_addresses()).with_attempts_max(1);
         Ok(Self { running, caller: Caller::new(config)?, service: "order-desk".parse()? })
     }
 
-    /// The median time of a read without faults.
-    async fn usual_latency(&self) -> anyhow::Result<Duration> {
-        let mut taken = Vec::new();
-        for number in 0..LATENCIES_TAKEN {
-            let sent = Instant::now();
+    /// Returns the median latency of a read without faults.
+    async fn median_latency(&self) -> anyhow::Result<Duration> {
+        let mut latencies = Vec::new();
+        for number in 0..LATENCY_SAMPLES {
+            let sent_at = Instant::now();
             self.read(&format!("usual-{number}")).await?;
-            taken.push(sent.elapsed());
+            latencies.push(sent_at.elapsed());
         }
-        taken.sort();
-        Ok(taken[LATENCIES_TAKEN / 2])
+        latencies.sort();
+        Ok(latencies[LATENCY_SAMPLES / 2])
     }
 
     async fn read(&self, mark: &str) -> anyhow::Result<Report> {
@@ -59,13 +58,13 @@
         Ok(self.caller.call(&order.with_mark(key)).await?)
     }
 
-    /// Sends a read and an order under one cut; gives the verdict on the order, if it failed.
+    /// Sends a read and an order under one cut; returns the verdict of the order if it failed.
     async fn check_cut(&self, name: &str) -> anyhow::Result<Option<Verdict>> {
         let read = self.read(&format!("read-{name}")).await?;
-        check_whole_or_refused(&format!("read-{name}"), &read)?;
+        check_complete_or_verdict(&format!("read-{name}"), &read)?;
         let key = format!("order-{name}");
         let order = self.order(&key).await?;
-        check_whole_or_refused(&key, &order)?;
+        check_complete_or_verdict(&key, &order)?;
         let runs = self.running.runs_of_key(&key).await?;
         assert!(runs <= 1, "{key} ran {runs} times");
         match (order.success(), order.verdict()) {
@@ -78,8 +77,8 @@
     }
 }
 
-/// A success must be whole and the request's own; anything else must carry a verdict.
-fn check_whole_or_refused(mark: &str, report: &Report) -> anyhow::Result<()> {
+/// Checks that a success is complete and belongs to its request, and a failure has a verdict.
+fn check_complete_or_verdict(mark: &str, report: &Report) -> anyhow::Result<()> {
     let answer = report.answer.as_ref().with_context(|| format!("{mark}: {report:?}"))?;
     if answer.is_success() {
         assert_eq!(Some(mark), answer.mark.as_deref());
@@ -91,58 +90,58 @@
     Ok(())
 }
 
-/// A second target would show an order that was sent again.
+/// A second target, so that an order sent twice shows as two runs.
 fn two_targets() -> Case {
     Case::new().with_service("order-desk", 2).with_rules(RULES)
 }
 
-fn cuts() -> impl Iterator<Item = u64> {
+fn cut_positions() -> impl Iterator<Item = u64> {
     (0..=CUT_END).step_by(CUT_STEP)
 }
 
-/// A target dies while it answers, at any byte. A stallholder must never see half a recipe, and
-/// an order whose answer was lost must not be called not-run: it did run.
+/// A target dies at any byte of its response. A caller must never receive a truncated response, and
+/// an order whose response was lost must not get the verdict `not-run`, since it ran.
 #[tokio::test]
-async fn an_answer_cut_at_any_byte_is_never_passed_on() -> anyhow::Result<()> {
-    let bench = Bench::start(two_targets()).await?;
-    let mut unknown = 0;
-    for cut_at in cuts() {
+async fn response_cut_at_any_byte_is_never_forwarded() -> anyhow::Result<()> {
+    let fixture = Fixture::start(two_targets()).await?;
+    let mut may_have_run_count = 0;
+    for cut_at in cut_positions() {
         let connections =
             ConnectionFaults { cut_answer_at_bytes: Some(cut_at), ..ConnectionFaults::default() };
         let faults = TargetFaults { connections, ..TargetFaults::default() };
-        for target in &bench.running.targets {
+        for target in &fixture.running.targets {
             target.set_faults(faults).await?;
         }
 
-        let verdict = bench.check_cut(&format!("answer-{cut_at}")).await?;
+        let verdict = fixture.check_cut(&format!("answer-{cut_at}")).await?;
 
-        unknown += u32::from(verdict == Some(Verdict::MayHaveRun));
+        may_have_run_count += u32::from(verdict == Some(Verdict::MayHaveRun));
     }
-    assert!(unknown > 0, "no cut fell into an answer");
+    assert!(may_have_run_count > 0, "no cut hit a response");
     Ok(())
 }
 
-/// Targets straggle, answer late and out of order, drop answers half way and fail fast, in turns
-/// of milliseconds, while callers read and order, some of them giving up early. Entries hedge and
-/// retry. No answer may be short, mixed or another's, and no order may run twice.
+/// Targets slow down, respond late and out of order, truncate responses and fail fast, alternating
+/// within milliseconds, while callers read and order and some give up early. Entries hedge and
+/// retry. No response may be truncated, mixed or another request's, and no order may run twice.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn thousands_of_requests_under_faults_get_their_own_answers() -> anyhow::Result<()> {
+async fn responses_under_faults_are_complete_and_their_own() -> anyhow::Result<()> {
     let case = Case::new().with_entries(2).with_service("order-desk", 4).with_rules(RULES);
-    let bench = Bench::start(case.with_target_option("--service-us", "2000")).await?;
-    let caller = CallerConfig::new(bench.running.caller_addresses());
-    let patience = bench.usual_latency().await? * HASTY_LATENCIES;
-    let hasty = caller.clone().with_timeout(patience).with_attempts_max(2);
+    let fixture = Fixture::start(case.with_target_option("--service-us", "2000")).await?;
+    let caller = CallerConfig::new(fixture.running.caller_addresses());
+    let impatient_timeout = fixture.median_latency().await? * IMPATIENT_TIMEOUT_FACTOR;
+    let impatient_caller = caller.clone().with_timeout(impatient_timeout).with_attempts_max(2);
     let config = TrafficConfig { callers: CALLERS, ..TrafficConfig::new(caller) };
-    let config = config.with_reads(&bench.service);
-    let patient = Traffic::start(&config.clone().with_orders(&bench.service))?;
-    let impatient = Traffic::start(&TrafficConfig { caller: hasty, ..config })?;
-
-    let mut turn = 0;
-    wait_until("thousands of requests have ended", async || {
-        let set = bench.set_turn(turn).await;
-        turn += 1;
-        let both = patient.whole_reads() > 0 && impatient.whole_reads() > 0;
-        set.is_ok() && both && patient.done() >= REQUESTS_UNDER_FAULTS
+    let config = config.with_reads(&fixture.service);
+    let patient = Traffic::start(&config.clone().with_orders(&fixture.service))?;
+    let impatient = Traffic::start(&TrafficConfig { caller: impatient_caller, ..config })?;
+
+    let mut round = 0;
+    wait_until("enough requests have completed", async || {
+        let faults_set = fixture.rotate_faults(round).await;
+        round += 1;
+        let both_read = patient.whole_reads() > 0 && impatient.whole_reads() > 0;
+        faults_set.is_ok() && both_read && patient.done() >= REQUESTS_UNDER_FAULTS
     })
     .await?;
     let patient = patient.stop().await;
@@ -151,12 +150,12 @@
     assert_eq!(Vec::<String>::new(), patient.wrong_answers);
     assert_eq!(Vec::<String>::new(), impatient.wrong_answers);
     assert!(patient.reads > 0 && impatient.reads > 0);
-    bench.check_orders(&patient).await
+    fixture.check_orders(&patient).await
 }
 
-impl Bench {
-    /// Gives each target another fault each turn.
-    async fn set_turn(&self, turn: usize) -> anyhow::Result<()> {
+impl Fixture {
+    /// Sets a different fault on each target in each round.
+    async fn rotate_faults(&self, round: usize) -> anyhow::Result<()> {
         let cut = ConnectionFaults { cut_answer_at_bytes: Some(500), ..Default::default() };
         let faults = [
             TargetFaults { late_ms: 15, ..TargetFaults::default() },
@@ -170,7 +169,7 @@
             TargetFaults::default(),
         ];
         for (index, target) in self.running.targets.iter().enumerate() {
-            target.set_faults(faults[(turn + index) % faults.len()]).await?;
+            target.set_faults(faults[(round + index) % faults.len()]).await?;
         }
         Ok(())
     }
--- a/tests/tests/whole_answers.rs
+++ b/tests/tests/responses_and_uploads.rs
@@ -1,4 +1,4 @@
-//! Whole answers of one's own, and whole uploads, while connections are cut and answers late.
+//! Responses and uploads stay complete and unmixed while connections are cut and responses are late.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,29 +23,29 @@
 const CONCURRENT: usize = 60;
 const WAVES: usize = 6;
 const TARGETS: usize = 6;
-/// Hedges and retries on, so that answers of two attempts at one request meet.
+/// Hedges and retries are on, so that the responses of two attempts at one request can collide.
 const RULES: &str = "[everything]\nthen.deadline_ms = 5000\nthen.retries = 2\nthen.hedge = yes\n";
 const GATEWAY_TIMEOUT: u16 = 504;
 const DEADLINE_HEADER: &str = "shallotfork-deadline-ms";
 
-/// What one caller does, drawn from the seed.
+/// Parameters of one request, drawn from the seed.
 #[derive(Debug, Clone)]
-struct Plan {
+struct RequestPlan {
     mark: String,
     entry: Endpoint,
     size_bytes: usize,
     service_us: u64,
     deadline_ms: u64,
-    hangs_up_after: Option<Duration>,
-    uploads: bool,
+    cancels_after: Option<Duration>,
+    is_upload: bool,
 }
 
 #[derive(Debug, Default)]
 struct Tally {
-    whole: usize,
-    refused: usize,
+    complete: usize,
+    failed: usize,
     timed_out: usize,
-    hung_up: usize,
+    cancelled: usize,
 }
 
 async fn start() -> anyhow::Result<Running> {
@@ -60,21 +60,21 @@
         .await
 }
 
-fn plan(rng: &mut StdRng, number: usize, entries: &[Endpoint]) -> Plan {
-    let hangs_up = rng.random_range(0..10) == 0;
-    let waits_too_short = rng.random_range(0..10) == 0;
-    Plan {
+fn draw_plan(rng: &mut StdRng, number: usize, entries: &[Endpoint]) -> RequestPlan {
+    let cancels = rng.random_range(0..10) == 0;
+    let has_short_deadline = rng.random_range(0..10) == 0;
+    RequestPlan {
         mark: format!("mark-{number}"),
         entry: entries[number % entries.len()],
         size_bytes: rng.random_range(0..20_000),
-        service_us: if waits_too_short { 60_000 } else { rng.random_range(0..4_000) },
-        deadline_ms: if waits_too_short { 30 } else { 5000 },
-        hangs_up_after: hangs_up.then(|| Duration::from_micros(rng.random_range(0..6_000))),
-        uploads: rng.random_range(0..4) == 0,
+        service_us: if has_short_deadline { 60_000 } else { rng.random_range(0..4_000) },
+        deadline_ms: if has_short_deadline { 30 } else { 5000 },
+        cancels_after: cancels.then(|| Duration::from_micros(rng.random_range(0..6_000))),
+        is_upload: rng.random_range(0..4) == 0,
     }
 }
 
-/// One target cuts answers, one answers late, one closes while it reads; they take turns.
+/// One target cuts responses, one closes while it reads, one responds late; the roles rotate.
 fn faults_of(target: usize, wave: usize) -> TargetFaults {
     let connections = match (target + wave) % TARGETS {
         0 => ConnectionFaults { cut_answer_at_bytes: Some(900), ..Default::default() },
@@ -85,46 +85,54 @@
     TargetFaults { connections, late_ms, ..Default::default() }
 }
 
-async fn run(caller: Arc<Caller>, service: ServiceName, plan: Plan) -> anyhow::Result<Tally> {
-    let body = if plan.uploads {
+async fn send_planned(
+    caller: Arc<Caller>,
+    service: ServiceName,
+    plan: RequestPlan,
+) -> anyhow::Result<Tally> {
+    let body = if plan.is_upload {
         Bytes::from(plan.mark.repeat(plan.size_bytes / 10 + 1))
     } else {
         Bytes::new()
     };
-    let method = if plan.uploads { Method::PUT } else { Method::GET };
+    let method = if plan.is_upload { Method::PUT } else { Method::GET };
     let call = Call::new(service, method, "/card", body.clone())
         .with_mark(&plan.mark)
         .with_header(SIZE_HEADER, &plan.size_bytes.to_string())
         .with_header(SERVICE_US_HEADER, &plan.service_us.to_string())
         .with_header(DEADLINE_HEADER, &plan.deadline_ms.to_string());
-    let sending = caller.send_to(plan.entry, &call);
-    let report = match plan.hangs_up_after {
-        None => sending.await,
-        Some(after) => match tokio::time::timeout(after, sending).await {
+    let response = caller.send_to(plan.entry, &call);
+    let report = match plan.cancels_after {
+        None => response.await,
+        Some(after) => match tokio::time::timeout(after, response).await {
             Ok(report) => report,
-            Err(_) => return Ok(Tally { hung_up: 1, ..Tally::default() }),
+            Err(_) => return Ok(Tally { cancelled: 1, ..Tally::default() }),
         },
     };
     let answer = report.answer.as_ref().with_context(|| format!("{plan:?}: {report:?}"))?;
     if !answer.is_success() {
         ensure!(answer.verdict.is_some(), "no verdict: {plan:?}: {report:?}");
         let timed_out = answer.status == GATEWAY_TIMEOUT && answer.verdict != Some(Verdict::NotRun);
-        return Ok(Tally { refused: 1, timed_out: usize::from(timed_out), ..Tally::default() });
+        return Ok(Tally { failed: 1, timed_out: usize::from(timed_out), ..Tally::default() });
     }
-    let work = answer.work().with_context(|| format!("no whole body: {plan:?}"))?;
-    ensure!(answer.mark.as_deref() == Some(&plan.mark), "another's: {plan:?}: {:?}", answer.mark);
-    ensure!(work.mark.as_deref() == Some(&plan.mark), "another's body: {plan:?}");
-    ensure!(answer.digest_holds == Some(true), "mixed: {plan:?}");
-    ensure!(work.filler.len() == plan.size_bytes, "short: {plan:?}");
-    ensure!(work.received_digest == content_digest(&body), "upload not whole: {plan:?}");
-    Ok(Tally { whole: 1, ..Tally::default() })
+    let work = answer.work().with_context(|| format!("incomplete body: {plan:?}"))?;
+    ensure!(
+        answer.mark.as_deref() == Some(&plan.mark),
+        "response to another request: {plan:?}: {:?}",
+        answer.mark
+    );
+    ensure!(work.mark.as_deref() == Some(&plan.mark), "body of another request: {plan:?}");
+    ensure!(answer.digest_holds == Some(true), "digest mismatch: {plan:?}");
+    ensure!(work.filler.len() == plan.size_bytes, "wrong body length: {plan:?}");
+    ensure!(work.received_digest == content_digest(&body), "upload incomplete: {plan:?}");
+    Ok(Tally { complete: 1, ..Tally::default() })
 }
 
-/// Thousands read and upload at once. Targets cut answers in the middle, close while they read,
-/// and answer late; callers hang up, and entries give up and hedge. A body or connection that is
-/// shared by mistake shows as an answer that is short, mixed or another caller's.
+/// Thousands of reads and uploads run concurrently. Targets cut responses, close connections while
+/// they read and respond late; callers cancel, and entries time out and hedge. A body or connection
+/// shared by mistake shows as a response that is truncated, mixed or another caller's.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn nobody_gets_a_part_or_anothers_answer() -> anyhow::Result<()> {
+async fn no_caller_gets_a_partial_or_foreign_response() -> anyhow::Result<()> {
     let running = start().await?;
     let service: ServiceName = "recipe-desk".parse()?;
     let entries = running.caller_addresses();
@@ -136,31 +144,32 @@
             target.set_faults(faults_of(index, wave)).await?;
         }
         let numbers = wave * REQUESTS / WAVES..(wave + 1) * REQUESTS / WAVES;
-        let plans: Vec<Plan> = numbers.map(|number| plan(&mut rng, number, &entries)).collect();
-        let mut ends = iter(plans)
-            .map(|plan| run(Arc::clone(&caller), service.clone(), plan))
+        let plans: Vec<RequestPlan> =
+            numbers.map(|number| draw_plan(&mut rng, number, &entries)).collect();
+        let mut tallies = iter(plans)
+            .map(|plan| send_planned(Arc::clone(&caller), service.clone(), plan))
             .buffer_unordered(CONCURRENT);
-        while let Some(end) = ends.next().await {
-            let end = end?;
-            total.whole += end.whole;
-            total.refused += end.refused;
-            total.timed_out += end.timed_out;
-            total.hung_up += end.hung_up;
+        while let Some(tally) = tallies.next().await {
+            let tally = tally?;
+            total.complete += tally.complete;
+            total.failed += tally.failed;
+            total.timed_out += tally.timed_out;
+            total.cancelled += tally.cancelled;
         }
     }
 
     let records = running.records().await?;
     let cut: u64 = records.iter().map(|records| records.connections.cut).sum();
     assert!(cut > 0, "no connection was cut");
-    assert!(total.whole > REQUESTS / 3, "{total:?}");
-    assert!(total.hung_up > 0 && total.timed_out > 0, "{total:?}");
+    assert!(total.complete > REQUESTS / 3, "{total:?}");
+    assert!(total.cancelled > 0 && total.timed_out > 0, "{total:?}");
     Ok(())
 }
 
-/// A restorer's link breaks at some byte of a dossier. The archive must not learn of it: it would
-/// store the half that came.
+/// A caller's connection breaks at any byte of an upload. The request must not reach the target,
+/// which would store the partial upload.
 #[tokio::test]
-async fn half_an_upload_never_reaches_a_target() -> anyhow::Result<()> {
+async fn partial_upload_never_reaches_a_target() -> anyhow::Result<()> {
     let running = start().await?;
     let entry = running.caller_addresses()[0];
     let body = "dossier ".repeat(10);
--- a/tests/tests/shallotctl.rs
+++ b/tests/tests/shallotctl.rs
@@ -1,4 +1,4 @@
-//! The operators' tool against running entries.
+//! The operator tool `shallotctl` against running entries.
 
 use std::env;
 use std::path::Path;
@@ -19,13 +19,16 @@
 fn shallotctl(running: &Running, args: &[&str]) -> anyhow::Result<Output> {
     let entries: Vec<String> =
         running.entries.iter().map(|entry| entry.ready.operators.to_string()).collect();
-    Ok(Command::new(program()?).args(args).args(["--entry", &entries.join(",")]).output()?)
+    Ok(Command::new(shallotctl_path()?)
+        .args(args)
+        .args(["--entry", &entries.join(",")])
+        .output()?)
 }
 
-/// Programs stand beside the directory of the test that runs.
-fn program() -> anyhow::Result<std::path::PathBuf> {
-    let test = env::current_exe()?;
-    let directory = test.parent().and_then(Path::parent);
+/// Returns the path of `shallotctl`; programs are built into the parent of the test binary's folder.
+fn shallotctl_path() -> anyhow::Result<std::path::PathBuf> {
+    let test_binary = env::current_exe()?;
+    let directory = test_binary.parent().and_then(Path::parent);
     Ok(directory.unwrap_or(Path::new(".")).join("shallotctl"))
 }
 
@@ -33,10 +36,10 @@
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// An operator publishes a list and follows it: the tool must end well only once every entry has
-/// it, and the trail must name the change on every entry.
+/// An operator publishes a list and watches it. `watch` must exit successfully only once the list is
+/// in force on every entry, and the audit trail must show the change for every entry.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_operator_follows_a_change_until_it_is_in_force_everywhere() -> anyhow::Result<()> {
+async fn watch_ends_once_change_is_in_force_on_every_entry() -> anyhow::Result<()> {
     let running = Case::new().with_entries(2).with_service("recipes", 1).start().await?;
     let before = running.entries[0].rules_revision().await;
     let published = running.platform.publish_over("rules", RULES, before).await?;
@@ -53,16 +56,16 @@
     }
 
     let audit = stdout(&shallotctl(&running, &["audit"])?);
-    let changed = |vm: &str| {
-        let line = |line: &&str| line.contains(vm) && line.contains("rules");
-        audit.lines().filter(line).any(|line| line.contains(&format!(" {revision} ")))
+    let has_change = |vm: &str| {
+        let is_rules_line = |line: &&str| line.contains(vm) && line.contains("rules");
+        audit.lines().filter(is_rules_line).any(|line| line.contains(&format!(" {revision} ")))
     };
-    assert!(changed("entry-0") && changed("entry-1"), "{audit}");
+    assert!(has_change("entry-0") && has_change("entry-1"), "{audit}");
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_operator_sees_a_refused_change() -> anyhow::Result<()> {
+async fn watch_reports_a_refused_change() -> anyhow::Result<()> {
     let running = Case::new().with_entries(2).start().await?;
     let before = running.entries[0].rules_revision().await;
     let published = running.platform.publish_over("rules", "[a]\n[b]\n", before).await?;
@@ -74,7 +77,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_operator_asks_an_entry_which_rule_decides() -> anyhow::Result<()> {
+async fn explain_shows_the_deciding_rule() -> anyhow::Result<()> {
     let running = Case::new().with_rules(RULES).start().await?;
     let request = ["explain", "--service", "recipes", "--caller", "batch", "--load", "950"];
     let explain = shallotctl(&running, &request)?;
@@ -83,13 +86,13 @@
     Ok(())
 }
 
-/// A service has rules of its own. An operator who asks an entry must be told what the entry does,
-/// which the general list alone does not say.
+/// A service has a rule list of its own. `explain` must show the rule that the entry applies, which
+/// the general list alone does not determine.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_operator_is_told_of_a_services_own_rules() -> anyhow::Result<()> {
+async fn explain_considers_rules_of_the_service() -> anyhow::Result<()> {
     let running = Case::new().with_rules(RULES).start().await?;
-    let own = "[closed]\nthen.refuse = 451\n";
-    running.platform.publish("rules.recipes", own).await?;
+    let service_rules = "[closed]\nthen.refuse = 451\n";
+    running.platform.publish("rules.recipes", service_rules).await?;
     let request = ["explain", "--service", "recipes", "--caller", "batch"];
     wait_until("the service's rules are in force", async || {
         shallotctl(&running, &request)
