--- a/tests/tests/end_to_end.rs
+++ b/tests/tests/end_to_end.rs
@@ -92,9 +92,9 @@
     Ok(())
 }
 
-/// An order is sent through one entry with a session issued by another. The sending entry is killed,
-/// the caller never gets the response and resends through a third entry. The order must have run
-/// once, and the caller must get its response.
+/// An order runs through one entry under a session that another entry issued. The first entry is
+/// killed; the caller, which never got the response, resends through a third entry. The order must
+/// have run once, and the caller must get its response.
 #[tokio::test]
 async fn order_resent_after_its_entry_is_killed_runs_once() -> anyhow::Result<()> {
     let mut fixture = Fixture::start(2).await?;
@@ -134,8 +134,8 @@
     Ok(())
 }
 
-/// A caller sends the same order through two entries at the same time, as an impatient app does. One
-/// runs it; the other responds that it is in progress, or with the same response.
+/// A caller sends the same order through two entries at the same time, as an impatient app does.
+/// One runs it; the other responds that it is in progress, or with the same response.
 #[tokio::test]
 async fn order_sent_through_two_entries_runs_once() -> anyhow::Result<()> {
     let fixture = Fixture::start(2).await?;
@@ -149,7 +149,7 @@
     Ok(())
 }
 
-/// A caller's preferred entry is killed while the caller still holds a list of entries that contains
+/// A caller's preferred entry is killed while the caller still holds a list of entries that names
 /// it. The caller must fail over to the next entry of the list without a failed read.
 #[tokio::test]
 async fn reads_fail_over_when_an_entry_is_killed() -> anyhow::Result<()> {
@@ -202,8 +202,8 @@
     headers.get("content-type").and_then(|value| value.to_str().ok())
 }
 
-/// A target takes longer than the request's deadline. The caller must get the verdict `may-have-run`
-/// when the deadline passes, not when the target is done.
+/// A target takes longer than the request's deadline. The caller must get the verdict
+/// `may-have-run` when the deadline passes, not when the target is done.
 #[tokio::test]
 async fn request_past_its_deadline_is_answered_at_once() -> anyhow::Result<()> {
     let fixture = Fixture::start(1).await?;
--- a/tests/tests/not_run_verdict.rs
+++ b/tests/tests/not_run_verdict.rs
@@ -1,4 +1,4 @@
-//! Verdicts match what ran at the target when connections between entry and target fail at any byte.
+//! Verdicts match the runs at the target when its connections to entries fail at any byte.
 
 use anyhow::{Context, ensure};
 use bytes::Bytes;
@@ -13,7 +13,7 @@
 /// Exceeds the size of every request and response here; each loop ends at the first complete one.
 const BYTES_MAX: u64 = 2000;
 
-/// Two entries in front of one target, without a limit on new connections since every cut costs one.
+/// Two entries in front of one target; new connections are unlimited, since every cut costs one.
 struct Fixture {
     running: Running,
     service: ServiceName,
@@ -80,8 +80,8 @@
     Ok(())
 }
 
-/// A target closes the connection after a given number of bytes of an order without a key. The entry
-/// must not run the order twice, nor report a verdict that leads the caller to do so.
+/// A target closes the connection after a given number of bytes of an order without a key. The
+/// entry must not run the order twice, nor report a verdict that leads the caller to do so.
 #[tokio::test]
 async fn request_cut_at_any_byte_gets_correct_verdict() -> anyhow::Result<()> {
     let fixture = Fixture::start().await?;
@@ -127,8 +127,8 @@
     anyhow::bail!("no response arrived complete")
 }
 
-/// A target sheds requests or refuses connections. Such a request may get the verdict `not-run`, and
-/// must then not have run.
+/// A target sheds requests or refuses connections. Such a request may get the verdict `not-run`,
+/// and must then not have run.
 #[tokio::test]
 async fn rejections_by_a_target_get_correct_verdict() -> anyhow::Result<()> {
     let fixture = Fixture::start().await?;
--- a/tests/tests/overload.rs
+++ b/tests/tests/overload.rs
@@ -85,8 +85,8 @@
 }
 
 /// Requests arrive at twice the capacity of the targets. Requests with high priority must be served
-/// first and the excess rejected at once, with the verdict `not-run` and a `retry-after`; the targets
-/// must stay fully used, and service must be back to normal after the burst.
+/// first and the excess rejected at once, with the verdict `not-run` and a `retry-after`. The
+/// targets must stay fully used, and service must be back to normal after the burst.
 #[tokio::test]
 async fn overload_serves_capacity_and_rejects_excess_at_once() -> anyhow::Result<()> {
     let running = start().await?;
@@ -124,8 +124,8 @@
     Ok(())
 }
 
-/// A target fails every request immediately, as with a broken dependency. It always has a free slot,
-/// so selection by free slots alone would send it most requests.
+/// A target fails every request at once, as with a broken dependency. It always has a free slot, so
+/// selection by free slots alone would send it most requests.
 #[tokio::test]
 async fn fast_failing_target_loses_its_traffic() -> anyhow::Result<()> {
     let running = start().await?;
--- a/tests/tests/platform_calls.rs
+++ b/tests/tests/platform_calls.rs
@@ -9,9 +9,9 @@
 const CALLS_PER_S: u64 = 4;
 const CHANGES: u32 = 40;
 
-/// A script publishes many changes in a row; then the platform hangs and recovers while one entry is
-/// paused and resumes with calls to catch up on. Each change wakes every waiting reader, and every
-/// reader reads again at once, which would overload the platform. Each entry caps its calls so that
+/// A script publishes many changes in a row; then the platform hangs and recovers while one entry
+/// is paused and resumes with calls to catch up on. Each change wakes every waiting reader, and all
+/// of them read again at once, which would overload the platform. Each entry caps its calls so that
 /// the total stays within what the users allow.
 #[tokio::test]
 async fn platform_calls_stay_within_the_cap() -> anyhow::Result<()> {
@@ -45,7 +45,7 @@
 
     let counts = platform.counts().await?;
     let lasted_s = begin.elapsed().as_secs_f64();
-    // Each entry spaces its calls evenly, so any one-second window holds at most one call above its rate.
+    // Calls are evenly spaced, so any window holds at most one call above the rate of each entry.
     let entries = ENTRIES as u64;
     let in_second_max = (CALLS_PER_S + 1) * entries;
     let total_max = (CALLS_PER_S as f64 * lasted_s).ceil() as u64 * entries + entries;
--- a/tests/tests/response_integrity.rs
+++ b/tests/tests/response_integrity.rs
@@ -1,4 +1,4 @@
-//! Every response is complete and belongs to its request; every verdict matches the runs at targets.
+//! Every response is complete and belongs to its request; each verdict matches the target's runs.
 
 use std::time::{Duration, Instant};
 
--- a/tests/tests/responses_and_uploads.rs
+++ b/tests/tests/responses_and_uploads.rs
@@ -1,4 +1,4 @@
-//! Responses and uploads stay complete and unmixed while connections are cut and responses are late.
+//! Responses and uploads stay complete and unmixed while connections are cut and responses late.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/tests/tests/shallotctl.rs
+++ b/tests/tests/shallotctl.rs
@@ -25,7 +25,7 @@
         .output()?)
 }
 
-/// Returns the path of `shallotctl`; programs are built into the parent of the test binary's folder.
+/// Returns the path of `shallotctl`; programs are built next to the test binary's folder.
 fn shallotctl_path() -> anyhow::Result<std::path::PathBuf> {
     let test_binary = env::current_exe()?;
     let directory = test_binary.parent().and_then(Path::parent);
@@ -36,8 +36,8 @@
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// An operator publishes a list and watches it. `watch` must exit successfully only once the list is
-/// in force on every entry, and the audit trail must show the change for every entry.
+/// An operator publishes a list and watches it. `watch` must exit successfully only once the list
+/// is in force on every entry, and the audit trail must show the change for every entry.
 #[tokio::test(flavor = "multi_thread")]
 async fn watch_ends_once_change_is_in_force_on_every_entry() -> anyhow::Result<()> {
     let running = Case::new().with_entries(2).with_service("recipes", 1).start().await?;
