--- a/crates/bench/examples/added_time.rs
+++ b/crates/bench/examples/added_time.rs
@@ -9,7 +9,7 @@
 
 use anyhow::{Context, ensure};
 use hdrhistogram::Histogram;
-use shallotfork_bench::{processor_time, resident};
+use shallotfork_bench::{cpu_time, resident_memory};
 use shallotfork_exchange::{ServeConfig, ServeControl, serve};
 use shallotfork_standin::caller::plain_client;
 use shallotfork_tests::{Case, Running, wait_until};
@@ -163,11 +163,11 @@
 
 /// Processor time of the entry since its start.
 fn cpu_used_us(running: &Running) -> anyhow::Result<u64> {
-    Ok(u64::try_from(processor_time(pid(running)?)?.as_micros())?)
+    Ok(u64::try_from(cpu_time(pid(running)?)?.as_micros())?)
 }
 
 fn resident_kib(running: &Running) -> anyhow::Result<u64> {
-    Ok(resident(pid(running)?)?.value() / 1024)
+    Ok(resident_memory(pid(running)?)?.value() / 1024)
 }
 
 fn pid(running: &Running) -> anyhow::Result<u32> {
--- a/crates/bench/examples/fleet_cost.rs
+++ b/crates/bench/examples/fleet_cost.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::{Context, Result, ensure};
-use shallotfork_bench::{control_thread_time, processor_time, resident};
+use shallotfork_bench::{control_thread_cpu_time, cpu_time, resident_memory};
 use shallotfork_standin::platform::Changes;
 use shallotfork_tests::{Case, Entry, Running, wait_until};
 
@@ -167,9 +167,9 @@
         value(&page, &format!("shallotd_peer_bytes_total{{direction=\"{direction}\"}} "))
     };
     Ok(Account {
-        control_s: control_thread_time(pid)?.as_secs_f64(),
-        all_s: processor_time(pid)?.as_secs_f64(),
-        resident_bytes: resident(pid)?.value(),
+        control_s: control_thread_cpu_time(pid)?.as_secs_f64(),
+        all_s: cpu_time(pid)?.as_secs_f64(),
+        resident_bytes: resident_memory(pid)?.value(),
         peer_bytes: peer("sent") + peer("received"),
         platform_bytes: value(&page, "shallotd_platform_bytes_total "),
         platform_calls: value(&page, "shallotd_platform_calls "),
--- a/crates/bench/examples/scenario/cost.rs
+++ b/crates/bench/examples/scenario/cost.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use shallotfork_bench::processor_time;
+use shallotfork_bench::cpu_time;
 use shallotfork_standin::load::{Measured, Scenario, SystemCost};
 use shallotfork_tests::Running;
 
@@ -18,7 +18,7 @@
     /// Sums over the entries that run; those that were killed count as none.
     pub fn of_entries(running: &Running) -> Self {
         let pids = running.entries.iter().filter_map(|entry| entry.program.pid());
-        Self { used: pids.filter_map(|pid| processor_time(pid).ok()).sum() }
+        Self { used: pids.filter_map(|pid| cpu_time(pid).ok()).sum() }
     }
 }
 
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -4,4 +4,4 @@
 
 mod process;
 
-pub use process::{control_thread_time, processor_time, resident};
+pub use process::{control_thread_cpu_time, cpu_time, resident_memory};
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 /// When the process does not run.
-pub fn processor_time(pid: u32) -> Result<Duration> {
+pub fn cpu_time(pid: u32) -> Result<Duration> {
     time_of(Path::new(&format!("/proc/{pid}/stat")))
 }
 
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 /// When the process does not run or has no such thread.
-pub fn control_thread_time(pid: u32) -> Result<Duration> {
+pub fn control_thread_cpu_time(pid: u32) -> Result<Duration> {
     for task in fs::read_dir(format!("/proc/{pid}/task"))? {
         let path = task?.path();
         if fs::read_to_string(path.join("comm"))?.trim() == CONTROL_THREAD {
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 /// When the process does not run.
-pub fn resident(pid: u32) -> Result<Bytes> {
+pub fn resident_memory(pid: u32) -> Result<Bytes> {
     let account = fs::read_to_string(format!("/proc/{pid}/statm"))?;
     let pages = account.split_whitespace().nth(1).context("statm has a second field")?;
     Ok(Bytes::new(pages.parse::<u64>()? * PAGE_BYTES))
