--- a/crates/bench/examples/added_time.rs
+++ b/crates/bench/examples/added_time.rs
@@ -1,8 +1,9 @@
-//! Measures what an entry adds to a request: time, processor time and memory per connection.
+//! Measures what an entry adds to a request: latency, processor time and memory per connection.
 //!
-//! Requests arrive at a set rate whether or not earlier ones are done, so that a slow moment shows
-//! in every request that fell into it. Direct and proxied seconds take turns within one run; the
-//! machine's own noise meets both. Arguments: the rates a second to run.
+//! The load is open-loop: requests are sent at a fixed rate whether or not earlier ones have ended,
+//! so a stall shows in every request due during it. Direct and proxied rounds of one second
+//! alternate within one run, so that noise on the machine affects both. Arguments: the rates to
+//! run, in requests per second.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -21,60 +22,60 @@
 const SERVICE: &str = "fast-desk";
 const TARGETS: usize = 8;
 const SLOTS: usize = 64;
-const ANSWER: &[u8] = &[b'x'; 500];
+const RESPONSE_BODY: &[u8] = &[b'x'; 500];
 const RATES: [u64; 4] = [500, 1000, 2000, 4000];
 const ROUNDS: usize = 5;
-const ROUND: Duration = Duration::from_secs(1);
+const ROUND_DURATION: Duration = Duration::from_secs(1);
 const TIMEOUT: Duration = Duration::from_secs(10);
 const CONNECTIONS: usize = 1000;
 const SIGNIFICANT_DIGITS: u8 = 3;
-const REQUEST: &[u8] = b"GET /card HTTP/1.1\r\nhost: fast-desk\r\n\r\n";
+const RAW_REQUEST: &[u8] = b"GET /card HTTP/1.1\r\nhost: fast-desk\r\n\r\n";
 
-/// One way to the targets, and what was measured on it.
-struct Path {
+/// A path to the targets, direct or through an entry, and the measurements on it.
+struct RequestPath {
     addresses: Vec<Endpoint>,
     client: reqwest::Client,
     latency_us: Histogram<u64>,
-    failures: BTreeMap<String, u64>,
+    error_counts: BTreeMap<String, u64>,
 }
 
-impl Path {
+impl RequestPath {
     fn new(addresses: Vec<Endpoint>) -> anyhow::Result<Self> {
         let latency_us = Histogram::new(SIGNIFICANT_DIGITS)?;
         Ok(Self {
             addresses,
             client: plain_client(TIMEOUT)?,
             latency_us,
-            failures: BTreeMap::new(),
+            error_counts: BTreeMap::new(),
         })
     }
 
-    /// Sends at `rate` a second for one round.
-    async fn round(&mut self, rate: u64) -> anyhow::Result<()> {
-        let total = rate * ROUND.as_secs();
-        let (sender, mut ends) = mpsc::unbounded_channel();
+    /// Sends `rate` requests per second for one round.
+    async fn run_round(&mut self, rate: u64) -> anyhow::Result<()> {
+        let total = rate * ROUND_DURATION.as_secs();
+        let (sender, mut results) = mpsc::unbounded_channel();
         let runtime = tokio::runtime::Handle::current();
         let (client, addresses) = (self.client.clone(), self.addresses.clone());
-        let sending = std::thread::spawn(move || {
-            let begin = Instant::now();
+        let generator = std::thread::spawn(move || {
+            let started_at = Instant::now();
             for number in 0..total {
-                let due = begin + ROUND.mul_f64(number as f64 / total as f64);
+                let due = started_at + ROUND_DURATION.mul_f64(number as f64 / total as f64);
                 std::thread::sleep(due.saturating_duration_since(Instant::now()));
                 let address = addresses[number as usize % addresses.len()];
                 let (client, sender) = (client.clone(), sender.clone());
                 runtime.spawn(async move {
-                    let end = read(&client, address).await;
-                    let _receiver_gone = sender.send((due.elapsed(), end));
+                    let result = send_request(&client, address).await;
+                    let _receiver_gone = sender.send((due.elapsed(), result));
                 });
             }
         });
-        while let Some((latency, end)) = ends.recv().await {
-            if let Err(error) = end {
-                *self.failures.entry(error.to_string()).or_default() += 1;
+        while let Some((latency, result)) = results.recv().await {
+            if let Err(error) = result {
+                *self.error_counts.entry(error.to_string()).or_default() += 1;
             }
             self.latency_us.record(u64::try_from(latency.as_micros())?)?;
         }
-        sending.join().map_err(|_| anyhow::anyhow!("the sender failed"))
+        generator.join().map_err(|_| anyhow::anyhow!("the sending thread panicked"))
     }
 
     fn quantile_us(&self, quantile: f64) -> u64 {
@@ -82,9 +83,9 @@
     }
 }
 
-async fn read(client: &reqwest::Client, address: Endpoint) -> anyhow::Result<()> {
-    let sending = client.get(format!("http://{address}/card")).header("host", SERVICE).send();
-    let response = sending.await?;
+async fn send_request(client: &reqwest::Client, address: Endpoint) -> anyhow::Result<()> {
+    let request = client.get(format!("http://{address}/card")).header("host", SERVICE).send();
+    let response = request.await?;
     let status = response.status();
     let body = response.text().await?;
     let reason = body.split(",\"verdict\"").next().unwrap_or_default();
@@ -94,8 +95,9 @@
 
 #[tokio::main]
 async fn main() -> anyhow::Result<()> {
-    let asked: Vec<u64> = std::env::args().skip(1).filter_map(|rate| rate.parse().ok()).collect();
-    let rates = if asked.is_empty() { RATES.to_vec() } else { asked };
+    let requested: Vec<u64> =
+        std::env::args().skip(1).filter_map(|rate| rate.parse().ok()).collect();
+    let rates = if requested.is_empty() { RATES.to_vec() } else { requested };
     let running =
         Case::new().with_setting("measure", "new_connections_per_s", "100000").start().await?;
     let targets = start_targets(&running).await?;
@@ -106,44 +108,45 @@
     measure_connections(&running).await
 }
 
-/// Serves targets in this process that answer at once, and publishes them.
+/// Serves targets in this process that answer immediately, and publishes them.
 ///
-/// The stand-in of a target works for whole milliseconds, which would hide what an entry adds.
+/// The target stand-in works for whole milliseconds, which would hide the time an entry adds.
 async fn start_targets(running: &Running) -> anyhow::Result<Vec<Endpoint>> {
     let mut addresses = Vec::new();
-    let mut published = Vec::new();
+    let mut items = Vec::new();
     for number in 0..TARGETS {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = Endpoint::new(listener.local_addr()?);
-        let endpoint = poem::endpoint::make_sync(|_| ANSWER);
+        let endpoint = poem::endpoint::make_sync(|_| RESPONSE_BODY);
         tokio::spawn(serve(listener, endpoint, ServeConfig::default(), ServeControl::new()));
         addresses.push(address);
-        published.push(format!(
+        items.push(format!(
             r#"{{"id":"fast-{number}","address":"{address}","failure_domain":"kalgoorlie","state":"serving","slots":{SLOTS},"connections_max":1000,"shed_status":null,"http2":false}}"#
         ));
     }
-    let targets = format!(r#"{{"targets":[{}]}}"#, published.join(","));
+    let targets = format!(r#"{{"targets":[{}]}}"#, items.join(","));
     running.platform.publish(&format!("targets.{SERVICE}"), &targets).await?;
     let client = plain_client(TIMEOUT)?;
     let entry = running.caller_addresses()[0];
-    wait_until("the targets are known", async || read(&client, entry).await.is_ok()).await?;
+    wait_until("the targets are known", async || send_request(&client, entry).await.is_ok())
+        .await?;
     Ok(addresses)
 }
 
 async fn measure(running: &Running, targets: &[Endpoint], rate: u64) -> anyhow::Result<()> {
-    let mut direct = Path::new(targets.to_vec())?;
-    let mut proxied = Path::new(running.caller_addresses())?;
+    let mut direct = RequestPath::new(targets.to_vec())?;
+    let mut proxied = RequestPath::new(running.caller_addresses())?;
     for path in [&mut direct, &mut proxied] {
-        path.round(rate).await?;
+        path.run_round(rate).await?;
         path.latency_us.reset();
-        path.failures.clear();
+        path.error_counts.clear();
     }
     let mut cpu_us = 0;
     for _ in 0..ROUNDS {
-        direct.round(rate).await?;
-        let before_us = cpu_used_us(running)?;
-        proxied.round(rate).await?;
-        cpu_us += cpu_used_us(running)? - before_us;
+        direct.run_round(rate).await?;
+        let before_us = entry_cpu_us(running)?;
+        proxied.run_round(rate).await?;
+        cpu_us += entry_cpu_us(running)? - before_us;
     }
     let (direct_p50, direct_p99) = (direct.quantile_us(0.5), direct.quantile_us(0.99));
     let (proxied_p50, proxied_p99) = (proxied.quantile_us(0.5), proxied.quantile_us(0.99));
@@ -152,17 +155,17 @@
         proxied_p50.saturating_sub(direct_p50),
         proxied_p99.saturating_sub(direct_p99),
         cpu_us / proxied.latency_us.len().max(1),
-        direct.failures.values().sum::<u64>(),
-        proxied.failures.values().sum::<u64>(),
+        direct.error_counts.values().sum::<u64>(),
+        proxied.error_counts.values().sum::<u64>(),
     );
-    for (failure, count) in direct.failures.iter().chain(&proxied.failures) {
+    for (failure, count) in direct.error_counts.iter().chain(&proxied.error_counts) {
         println!("  {count} times {failure}");
     }
     Ok(())
 }
 
-/// Processor time of the entry since its start.
-fn cpu_used_us(running: &Running) -> anyhow::Result<u64> {
+/// Returns the processor time that the entry has used since its start, in microseconds.
+fn entry_cpu_us(running: &Running) -> anyhow::Result<u64> {
     Ok(u64::try_from(cpu_time(pid(running)?)?.as_micros())?)
 }
 
@@ -171,24 +174,24 @@
 }
 
 fn pid(running: &Running) -> anyhow::Result<u32> {
-    running.entries[0].program.pid().context("a running entry")
+    running.entries[0].program.pid().context("the entry is not running")
 }
 
-/// Opens connections that send one request each and stay.
+/// Measures the entry's memory per connection, with connections kept open after one request each.
 async fn measure_connections(running: &Running) -> anyhow::Result<()> {
     let before_kib = resident_kib(running)?;
     let mut open = Vec::new();
     for _ in 0..CONNECTIONS {
         let mut stream = TcpStream::connect(running.caller_addresses()[0].address()).await?;
-        stream.write_all(REQUEST).await?;
-        let mut first = [0; 1];
-        stream.read_exact(&mut first).await?;
+        stream.write_all(RAW_REQUEST).await?;
+        let mut first_byte = [0; 1];
+        stream.read_exact(&mut first_byte).await?;
         open.push(stream);
     }
-    let grown_kib = resident_kib(running)?.saturating_sub(before_kib);
+    let growth_kib = resident_kib(running)?.saturating_sub(before_kib);
     println!(
         "{CONNECTIONS} kept connections: {} bytes each",
-        grown_kib * 1024 / CONNECTIONS as u64
+        growth_kib * 1024 / CONNECTIONS as u64
     );
     Ok(())
 }
--- a/crates/bench/examples/demo.rs
+++ b/crates/bench/examples/demo.rs
@@ -1,4 +1,4 @@
-//! The main job, step by step, with real processes; fails when a step's check fails.
+//! Demonstrates the main use case step by step with real processes; fails when a check fails.
 
 use anyhow::{Context, ensure};
 use bytes::Bytes;
@@ -11,7 +11,7 @@
 const EXECUTOR: usize = 1;
 const OTHER: usize = 2;
 
-/// What the steps share.
+/// State shared by the steps.
 struct Demo {
     running: Running,
     caller: Caller,
@@ -34,9 +34,9 @@
     let orders = ServiceName::new("order-desk")?;
     let mut demo = Demo { running, caller, recipes, orders };
 
-    demo.ask_which_entries().await?;
+    demo.fetch_entries().await?;
     demo.read_cards("before").await?;
-    let order = demo.lodge_order().await?;
+    let order = demo.send_order().await?;
     demo.kill_executor().await?;
     demo.read_cards("after").await?;
     demo.resend_order(&order).await?;
@@ -46,14 +46,14 @@
 }
 
 impl Demo {
-    async fn ask_which_entries(&self) -> anyhow::Result<()> {
+    async fn fetch_entries(&self) -> anyhow::Result<()> {
         println!("2. ask an entry which entries to use for {}", self.recipes);
         let answer = self.caller.entries(&self.recipes).await?;
         for entry in &answer.entries {
             println!("   {} in {}", entry.address, entry.failure_domain);
         }
         println!("   keep this answer for {} ms", answer.keep_for_ms);
-        ensure!(!answer.entries.is_empty(), "no entry is named");
+        ensure!(!answer.entries.is_empty(), "no entry is advertised");
         Ok(())
     }
 
@@ -65,19 +65,20 @@
             let call = Call::get(self.recipes.clone(), "/cards/saltbush").with_mark(&mark);
             let report = self.caller.call(&call).await?;
             let answer = report.success().with_context(|| format!("{:?}", report.attempts))?;
-            check_whole(answer, &mark)?;
+            check_answer(answer, &mark)?;
             failovers += report.attempts.len() - 1;
         }
         println!("   {READS} whole answers, each to its own request; {failovers} failovers");
         Ok(())
     }
 
-    /// Takes a session from one entry and sends the order through another.
-    async fn lodge_order(&self) -> anyhow::Result<Call> {
+    /// Obtains a session from one entry and sends the order through another one.
+    async fn send_order(&self) -> anyhow::Result<Call> {
         println!("3. lodge an order with a session of one entry, through another entry");
         let addresses = self.running.caller_addresses();
         let issuer = Caller::new(CallerConfig::new(vec![addresses[ISSUER]]))?;
-        let session = issuer.entries(&self.orders).await?.session.context("no session")?;
+        let session =
+            issuer.entries(&self.orders).await?.session.context("the entry issued no session")?;
         let key = IdempotencyKey::new("order-1")?;
         let body = Bytes::from_static(b"two drums of saltbush pepper");
         let order = Call::post(self.orders.clone(), "/orders", key, body)
@@ -85,15 +86,15 @@
             .with_session(&session);
         let report = self.caller.send_to(addresses[EXECUTOR], &order).await;
         let answer = report.success().with_context(|| format!("{:?}", report.attempts))?;
-        check_whole(answer, "order-1")?;
+        check_answer(answer, "order-1")?;
         println!("   session from {}, sent to {}", addresses[ISSUER], addresses[EXECUTOR]);
-        println!("   answered by target {}", shown_target(answer));
+        println!("   answered by target {}", target_name(answer));
         Ok(order)
     }
 
     async fn kill_executor(&mut self) -> anyhow::Result<()> {
         let entry = &mut self.running.entries[EXECUTOR];
-        let pid = entry.program.pid().context("the entry has ended by itself")?;
+        let pid = entry.program.pid().context("the entry has exited on its own")?;
         println!("4. kill {} (process {pid})", entry.vm);
         entry.program.kill().await
     }
@@ -103,8 +104,8 @@
         let other = self.running.caller_addresses()[OTHER];
         let report = self.caller.send_to(other, order).await;
         let answer = report.success().with_context(|| format!("{:?}", report.attempts))?;
-        check_whole(answer, "order-1")?;
-        println!("   the kept answer of target {} comes back", shown_target(answer));
+        check_answer(answer, "order-1")?;
+        println!("   the kept answer of target {} comes back", target_name(answer));
         let runs = self.running.runs_of_key("order-1").await?;
         println!("   runs of the order at all targets: {runs}");
         ensure!(runs == 1, "the order ran {runs} times");
@@ -138,12 +139,12 @@
     }
 }
 
-fn check_whole(answer: &Answer, mark: &str) -> anyhow::Result<()> {
-    ensure!(answer.mark.as_deref() == Some(mark), "an answer to another request");
-    ensure!(answer.digest_holds == Some(true), "an answer that is not whole");
+fn check_answer(answer: &Answer, mark: &str) -> anyhow::Result<()> {
+    ensure!(answer.mark.as_deref() == Some(mark), "the answer belongs to another request");
+    ensure!(answer.digest_holds == Some(true), "the answer is not complete");
     Ok(())
 }
 
-fn shown_target(answer: &Answer) -> String {
+fn target_name(answer: &Answer) -> String {
     answer.target.as_ref().map_or_else(|| "unknown".to_owned(), ToString::to_string)
 }
--- a/crates/bench/examples/fleet_cost.rs
+++ b/crates/bench/examples/fleet_cost.rs
@@ -1,7 +1,10 @@
-//! What control costs a node while no caller calls: processor time of the control thread, memory,
-//! bytes between entries and from the platform, at several sizes of fleet and lists.
+//! Measures the control-plane cost of an entry without caller traffic: processor time of the
+//! control thread, memory, and bytes between entries and from the platform, for a given size of
+//! the fleet and its lists.
+//!
+//! Only lists are published and no target runs: without caller traffic, entries send nothing to
+//! targets.
 //!
-//! Only lists are published; no target runs, since entries do not call targets unasked.
 //! `cargo build --release --workspace && cargo run --release -p shallotfork-bench --example
 //! fleet_cost -- ENTRIES SERVICES TARGETS_PER_SERVICE CHANGES_PER_S SECONDS`
 
@@ -17,14 +20,14 @@
     services: usize,
     targets_per_service: usize,
     changes_per_s: f64,
-    seconds: u64,
+    duration_s: u64,
 }
 
-/// One entry's account at one moment.
+/// Resources that one entry has used up to a moment.
 #[derive(Debug, Clone, Copy, Default)]
-struct Account {
-    control_s: f64,
-    all_s: f64,
+struct Usage {
+    control_thread_s: f64,
+    process_s: f64,
     resident_bytes: u64,
     peer_bytes: f64,
     platform_bytes: f64,
@@ -33,33 +36,36 @@
 
 #[tokio::main]
 async fn main() -> Result<()> {
-    let sizes = sizes()?;
+    let sizes = parse_sizes()?;
     let running = Case::new().with_entries(sizes.entries).start().await?;
     publish_services(&running, &sizes).await?;
-    let before = accounts(&running).await?;
+    let before = read_all_usage(&running).await?;
     let started = Instant::now();
-    change(&running, &sizes).await?;
+    publish_changes(&running, &sizes).await?;
     let elapsed_s = started.elapsed().as_secs_f64();
-    let after = accounts(&running).await?;
-    let in_force_ms = follow(&running, &sizes).await?;
+    let after = read_all_usage(&running).await?;
+    let in_force_ms = measure_in_force_times(&running, &sizes).await?;
     print_row(&sizes, &before, &after, elapsed_s, &in_force_ms);
     Ok(())
 }
 
-fn sizes() -> Result<Sizes> {
+fn parse_sizes() -> Result<Sizes> {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    ensure!(args.len() == 5, "five numbers: entries services targets changes_per_s seconds");
+    ensure!(
+        args.len() == 5,
+        "expected five arguments: ENTRIES SERVICES TARGETS_PER_SERVICE CHANGES_PER_S SECONDS"
+    );
     Ok(Sizes {
         entries: args[0].parse()?,
         services: args[1].parse()?,
         targets_per_service: args[2].parse()?,
         changes_per_s: args[3].parse()?,
-        seconds: args[4].parse()?,
+        duration_s: args[4].parse()?,
     })
 }
 
-fn targets(service: usize, count: usize, generation: usize) -> String {
-    let one = |index: usize| {
+fn targets_json(service: usize, count: usize, generation: usize) -> String {
+    let target_json = |index: usize| {
         let port = 1024 + (service * count + index) % 60_000;
         let state = if (generation + index).is_multiple_of(count) { "draining" } else { "serving" };
         format!(
@@ -69,34 +75,34 @@
             index % 3
         )
     };
-    let all: Vec<String> = (0..count).map(one).collect();
+    let all: Vec<String> = (0..count).map(target_json).collect();
     format!("{{\"targets\":[{}]}}", all.join(","))
 }
 
 async fn publish_services(running: &Running, sizes: &Sizes) -> Result<()> {
     for service in 0..sizes.services {
-        let content = targets(service, sizes.targets_per_service, 0);
+        let content = targets_json(service, sizes.targets_per_service, 0);
         running.platform.publish(&format!("targets.service-{service}"), &content).await?;
     }
-    let last = sizes.services + 3;
+    let expected_lists = sizes.services + 3;
     for entry in &running.entries {
         wait_until("every list is in force", async || {
-            lists(entry).await >= last.min(sizes.services)
+            list_count(entry).await >= expected_lists.min(sizes.services)
         })
         .await?;
     }
     Ok(())
 }
 
-async fn lists(entry: &Entry) -> usize {
+async fn list_count(entry: &Entry) -> usize {
     entry.status().await.map_or(0, |status| status.lists.len())
 }
 
-/// Publishes changes at the rate asked for.
-async fn change(running: &Running, sizes: &Sizes) -> Result<()> {
-    let end = Instant::now() + Duration::from_secs(sizes.seconds);
+/// Publishes changes at the configured rate for the configured duration.
+async fn publish_changes(running: &Running, sizes: &Sizes) -> Result<()> {
+    let end = Instant::now() + Duration::from_secs(sizes.duration_s);
     if sizes.changes_per_s == 0.0 || sizes.services == 0 {
-        tokio::time::sleep(Duration::from_secs(sizes.seconds)).await;
+        tokio::time::sleep(Duration::from_secs(sizes.duration_s)).await;
         return Ok(());
     }
     let mut ticks = tokio::time::interval(Duration::from_secs_f64(1.0 / sizes.changes_per_s));
@@ -111,34 +117,37 @@
 
 async fn publish_change(running: &Running, sizes: &Sizes, generation: usize) -> Result<()> {
     let service = generation % sizes.services;
-    let content = targets(service, sizes.targets_per_service, generation);
+    let content = targets_json(service, sizes.targets_per_service, generation);
     running.platform.publish(&format!("targets.service-{service}"), &content).await
 }
 
-/// Changes that are followed until they are in force everywhere, after the accounts were taken:
-/// asking the entries how far they are costs them time.
-const FOLLOWED: usize = 10;
+/// Number of changes whose time until they are in force on every entry is measured.
+///
+/// They are published after the usage is read, since polling the entries costs them processor time.
+const MEASURED_CHANGES: usize = 10;
 
-async fn follow(running: &Running, sizes: &Sizes) -> Result<Vec<f64>> {
+async fn measure_in_force_times(running: &Running, sizes: &Sizes) -> Result<Vec<f64>> {
     let mut in_force_ms = Vec::new();
     if sizes.services == 0 {
         return Ok(in_force_ms);
     }
-    for number in 0..FOLLOWED {
-        let published = Instant::now();
+    for number in 0..MEASURED_CHANGES {
+        let published_at = Instant::now();
         publish_change(running, sizes, 1_000_001 + number).await?;
-        in_force_ms.push(in_force(running, published).await?);
+        in_force_ms.push(wait_in_force(running, published_at).await?);
     }
     Ok(in_force_ms)
 }
 
-/// Waits until every entry holds what the platform has published.
-async fn in_force(running: &Running, published: Instant) -> Result<f64> {
-    let wanted = published_revision(running).await?;
+/// Waits until every entry has synced the published revision; returns the milliseconds since
+/// publication.
+async fn wait_in_force(running: &Running, published_at: Instant) -> Result<f64> {
+    let expected = published_revision(running).await?;
     for entry in &running.entries {
-        wait_until("the change is in force", async || synced(entry).await >= wanted).await?;
+        wait_until("the change is in force", async || synced_revision(entry).await >= expected)
+            .await?;
     }
-    Ok(published.elapsed().as_secs_f64() * 1000.0)
+    Ok(published_at.elapsed().as_secs_f64() * 1000.0)
 }
 
 async fn published_revision(running: &Running) -> Result<f64> {
@@ -147,37 +156,37 @@
     Ok(changes.revision.value() as f64)
 }
 
-async fn synced(entry: &Entry) -> f64 {
-    let page = entry.operator_get("/metrics").await.unwrap_or_default();
-    value(&page, "shallotd_synced_revision ")
+async fn synced_revision(entry: &Entry) -> f64 {
+    let metrics = entry.operator_get("/metrics").await.unwrap_or_default();
+    metric_value(&metrics, "shallotd_synced_revision ")
 }
 
-async fn accounts(running: &Running) -> Result<Vec<Account>> {
+async fn read_all_usage(running: &Running) -> Result<Vec<Usage>> {
     let mut all = Vec::new();
     for entry in &running.entries {
-        all.push(account(entry).await?);
+        all.push(read_usage(entry).await?);
     }
     Ok(all)
 }
 
-async fn account(entry: &Entry) -> Result<Account> {
-    let pid = entry.program.pid().context("the entry runs")?;
-    let page = entry.operator_get("/metrics").await?;
+async fn read_usage(entry: &Entry) -> Result<Usage> {
+    let pid = entry.program.pid().context("the entry is not running")?;
+    let metrics = entry.operator_get("/metrics").await?;
     let peer = |direction: &str| {
-        value(&page, &format!("shallotd_peer_bytes_total{{direction=\"{direction}\"}} "))
+        metric_value(&metrics, &format!("shallotd_peer_bytes_total{{direction=\"{direction}\"}} "))
     };
-    Ok(Account {
-        control_s: control_thread_cpu_time(pid)?.as_secs_f64(),
-        all_s: cpu_time(pid)?.as_secs_f64(),
+    Ok(Usage {
+        control_thread_s: control_thread_cpu_time(pid)?.as_secs_f64(),
+        process_s: cpu_time(pid)?.as_secs_f64(),
         resident_bytes: resident_memory(pid)?.value(),
         peer_bytes: peer("sent") + peer("received"),
-        platform_bytes: value(&page, "shallotd_platform_bytes_total "),
-        platform_calls: value(&page, "shallotd_platform_calls "),
+        platform_bytes: metric_value(&metrics, "shallotd_platform_bytes_total "),
+        platform_calls: metric_value(&metrics, "shallotd_platform_calls "),
     })
 }
 
-fn value(page: &str, metric: &str) -> f64 {
-    let line = page.lines().find(|line| line.starts_with(metric));
+fn metric_value(metrics: &str, metric: &str) -> f64 {
+    let line = metrics.lines().find(|line| line.starts_with(metric));
     line.and_then(|line| line.rsplit(' ').next()?.parse().ok()).unwrap_or(0.0)
 }
 
@@ -188,16 +197,16 @@
 
 fn print_row(
     sizes: &Sizes,
-    before: &[Account],
-    after: &[Account],
+    before: &[Usage],
+    after: &[Usage],
     elapsed_s: f64,
     in_force_ms: &[f64],
 ) {
-    let rate = |field: fn(&Account) -> f64| {
-        let grown = before.iter().zip(after).map(|(was, is)| field(is) - field(was));
-        median(grown.map(|grown| grown / elapsed_s).collect())
+    let rate = |field: fn(&Usage) -> f64| {
+        let growth = before.iter().zip(after).map(|(earlier, later)| field(later) - field(earlier));
+        median(growth.map(|growth| growth / elapsed_s).collect())
     };
-    let resident = median(after.iter().map(|account| account.resident_bytes as f64).collect());
+    let resident = median(after.iter().map(|usage| usage.resident_bytes as f64).collect());
     let slowest = in_force_ms.iter().copied().fold(0.0, f64::max);
     println!(
         "| {} | {} | {} | {} | {:.2} | {:.2} | {:.1} | {:.0} | {:.0} | {:.2} | {:.0} | {:.0} |",
@@ -205,12 +214,12 @@
         sizes.services,
         sizes.services * sizes.targets_per_service,
         sizes.changes_per_s,
-        rate(|account| account.control_s) * 100.0,
-        rate(|account| account.all_s) * 100.0,
+        rate(|usage| usage.control_thread_s) * 100.0,
+        rate(|usage| usage.process_s) * 100.0,
         resident / 1024.0 / 1024.0,
-        rate(|account| account.peer_bytes),
-        rate(|account| account.platform_bytes),
-        rate(|account| account.platform_calls),
+        rate(|usage| usage.peer_bytes),
+        rate(|usage| usage.platform_bytes),
+        rate(|usage| usage.platform_calls),
         median(in_force_ms.to_vec()),
         slowest,
     );
--- a/crates/bench/examples/list_spread.rs
+++ b/crates/bench/examples/list_spread.rs
@@ -1,5 +1,5 @@
-//! Measures how long a published rule list takes until every entry has it in force, and what
-//! reading the platform costs while nothing changes.
+//! Measures how long a published rule list takes to be in force on every entry, and how many calls
+//! and bytes entries read from the platform while nothing changes.
 //!
 //! `cargo run --release -p shallotfork-bench --example list_spread -- ENTRIES CHANGES`
 
@@ -14,11 +14,11 @@
 const DEFAULT_ENTRIES: usize = 14;
 const DEFAULT_CHANGES: u32 = 20;
 const IDLE: Duration = Duration::from_secs(65);
-const POLL: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Which entries reach the platform.
+/// The entries that can read the platform.
 #[derive(Debug, Clone, Copy)]
-enum Reach {
+enum PlatformAccess {
     All,
     OneOnly,
 }
@@ -30,11 +30,17 @@
     let changes = args.next().map_or(Ok(DEFAULT_CHANGES), |text| text.parse())?;
     println!("entries {entries}, changes {changes}; milliseconds from publishing to in force");
     println!("{:<28} {:>8} {:>8} {:>8}", "platform reached by", "median", "p90", "most");
-    for reach in [Reach::All, Reach::OneOnly] {
-        let mut times_ms = measure(entries, changes, reach).await?;
+    for access in [PlatformAccess::All, PlatformAccess::OneOnly] {
+        let mut times_ms = measure(entries, changes, access).await?;
         times_ms.sort_unstable();
-        let at = |permille: usize| times_ms[(times_ms.len() - 1) * permille / 1000];
-        println!("{:<28} {:>8} {:>8} {:>8}", format!("{reach:?}"), at(500), at(900), at(1000));
+        let quantile = |permille: usize| times_ms[(times_ms.len() - 1) * permille / 1000];
+        println!(
+            "{:<28} {:>8} {:>8} {:>8}",
+            format!("{access:?}"),
+            quantile(500),
+            quantile(900),
+            quantile(1000)
+        );
     }
     let counts = idle_calls(entries).await?;
     println!(
@@ -44,7 +50,7 @@
     Ok(())
 }
 
-/// Calls to the platform while nothing changes.
+/// Counts the calls to the platform while nothing changes.
 async fn idle_calls(entries: usize) -> anyhow::Result<CallCounts> {
     let running = Case::new().with_entries(entries).with_replicas(2).start().await?;
     running.platform.reset_counts().await?;
@@ -52,10 +58,14 @@
     running.platform.counts().await
 }
 
-async fn measure(entries: usize, changes: u32, reach: Reach) -> anyhow::Result<Vec<u128>> {
+async fn measure(
+    entries: usize,
+    changes: u32,
+    access: PlatformAccess,
+) -> anyhow::Result<Vec<u128>> {
     let case = Case::new().with_entries(entries).with_replica_for_each_entry();
     let running = case.start().await?;
-    if matches!(reach, Reach::OneOnly) {
+    if matches!(access, PlatformAccess::OneOnly) {
         for replica in 1..entries {
             let down = Fault::Mode(ReplicaMode::Down);
             running.platform.fault(Some(replica), down).await?;
@@ -66,18 +76,18 @@
     for number in 0..changes {
         let rules = format!("[everything]\nthen.deadline_ms = {}\n", 1000 + number);
         let published = running.platform.publish_over("rules", &rules, revision).await?;
-        let begin = Instant::now();
-        revision = published.context("somebody else published")?;
-        wait_everywhere(&running, revision).await;
-        times_ms.push(begin.elapsed().as_millis());
+        let published_at = Instant::now();
+        revision = published.context("the rule list was changed by another publisher")?;
+        wait_until_in_force(&running, revision).await;
+        times_ms.push(published_at.elapsed().as_millis());
     }
     Ok(times_ms)
 }
 
-async fn wait_everywhere(running: &Running, revision: Revision) {
+async fn wait_until_in_force(running: &Running, revision: Revision) {
     let waits = running.entries.iter().map(async |entry| {
         while entry.rules_revision().await < revision {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     });
     join_all(waits).await;
--- a/crates/bench/examples/order_cost.rs
+++ b/crates/bench/examples/order_cost.rs
@@ -1,5 +1,5 @@
-//! Prints the time of an order without a key, at the entry that issued its session, and at another
-//! one, taken in turn in one run.
+//! Measures the latency of an order without an idempotency key, of one sent to the entry that
+//! issued its session, and of one sent to another entry. The three alternate within one run.
 //!
 //! `cargo build --release --bins && cargo run --release -p shallotfork-bench --example order_cost`
 
@@ -17,53 +17,54 @@
 const ISSUER: usize = 0;
 const OTHER: usize = 1;
 
-/// The target's own work is left out as far as it goes.
+/// Simulated work of the target in microseconds; 0 keeps it out of the latency as far as possible.
 const SERVICE_US: &str = "0";
 
 #[derive(Debug, Clone, Copy)]
-enum Way {
+enum OrderKind {
     Unkeyed,
     AtIssuer,
     AtOther,
 }
 
-const WAYS: [Way; 3] = [Way::Unkeyed, Way::AtIssuer, Way::AtOther];
+const ORDER_KINDS: [OrderKind; 3] = [OrderKind::Unkeyed, OrderKind::AtIssuer, OrderKind::AtOther];
 
 #[tokio::main]
 async fn main() -> anyhow::Result<()> {
     let case = Desk::case().with_setting("once", "session_lifetime_ms", "3600000");
     let desk = Desk::start(case).await?;
-    let mut times = [(); WAYS.len()].map(|()| Vec::with_capacity(ROUNDS));
+    let mut times = [(); ORDER_KINDS.len()].map(|()| Vec::with_capacity(ROUNDS));
     for round in 0..WARM_UP_ROUNDS + ROUNDS {
-        for (way, times) in WAYS.into_iter().zip(&mut times) {
-            let took = send(&desk, way, round).await?;
+        for (kind, times) in ORDER_KINDS.into_iter().zip(&mut times) {
+            let latency = send(&desk, kind, round).await?;
             if round >= WARM_UP_ROUNDS {
-                times.push(took);
+                times.push(latency);
             }
         }
     }
-    for (way, times) in WAYS.into_iter().zip(&mut times) {
+    for (kind, times) in ORDER_KINDS.into_iter().zip(&mut times) {
         times.sort();
-        let at = |permille: usize| times[(times.len() - 1) * permille / 1000].as_secs_f64() * 1e3;
-        println!("{way:?}: p50 {:.3} ms, p99 {:.3} ms", at(500), at(990));
+        let quantile_ms =
+            |permille: usize| times[(times.len() - 1) * permille / 1000].as_secs_f64() * 1e3;
+        println!("{kind:?}: p50 {:.3} ms, p99 {:.3} ms", quantile_ms(500), quantile_ms(990));
     }
     Ok(())
 }
 
-async fn send(desk: &Desk, way: Way, round: usize) -> anyhow::Result<Duration> {
+async fn send(desk: &Desk, kind: OrderKind, round: usize) -> anyhow::Result<Duration> {
     let session = desk.session(ISSUER).await?;
-    let (entry, call) = match way {
-        Way::Unkeyed => {
+    let (entry, call) = match kind {
+        OrderKind::Unkeyed => {
             let body = Bytes::from_static(b"two drums of saltbush pepper");
             (ISSUER, Call::new(desk.service.clone(), Method::POST, "/orders", body))
         }
-        Way::AtIssuer => (ISSUER, desk.order(&format!("issuer-{round}"), &session)?),
-        Way::AtOther => (OTHER, desk.order(&format!("other-{round}"), &session)?),
+        OrderKind::AtIssuer => (ISSUER, desk.order(&format!("issuer-{round}"), &session)?),
+        OrderKind::AtOther => (OTHER, desk.order(&format!("other-{round}"), &session)?),
     };
     let call = call.with_header(SERVICE_US_HEADER, SERVICE_US);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let report = desk.send(entry, &call).await;
-    let took = began.elapsed();
+    let latency = started_at.elapsed();
     ensure!(report.success().is_some(), "{report:?}");
-    Ok(took)
+    Ok(latency)
 }
--- a/crates/bench/examples/scenario/cost.rs
+++ b/crates/bench/examples/scenario/cost.rs
@@ -1,4 +1,4 @@
-//! What a run cost the system, from its processes.
+//! Cost of a scenario run, read from the processes of the system.
 
 use std::time::Duration;
 
@@ -6,31 +6,31 @@
 use shallotfork_standin::load::{Measured, Scenario, SystemCost};
 use shallotfork_tests::Running;
 
-/// Target time that one probe takes, as the users measured.
-const PROBE_S: f64 = 0.006;
+/// Time that a target spends on one probe, in seconds.
+const PROBE_DURATION_S: f64 = 0.006;
 
 /// Processor time that the entries have used up to a moment.
-pub struct CpuReading {
+pub struct EntryCpuTime {
     used: Duration,
 }
 
-impl CpuReading {
-    /// Sums over the entries that run; those that were killed count as none.
-    pub fn of_entries(running: &Running) -> Self {
+impl EntryCpuTime {
+    /// Sums the processor time of the running entries; killed entries count as zero.
+    pub fn read(running: &Running) -> Self {
         let pids = running.entries.iter().filter_map(|entry| entry.program.pid());
         Self { used: pids.filter_map(|pid| cpu_time(pid).ok()).sum() }
     }
 }
 
-/// Costs of a run whose targets forgot their counts after the warm-up.
+/// Computes the costs of a run. The targets' counters must have been reset after the warm-up.
 pub async fn system_cost(
     scenario: &Scenario,
     running: &Running,
-    before: &CpuReading,
+    before: &EntryCpuTime,
     measured: &Measured,
     requests: usize,
 ) -> anyhow::Result<SystemCost> {
-    let used = CpuReading::of_entries(running).used.saturating_sub(before.used);
+    let used = EntryCpuTime::read(running).used.saturating_sub(before.used);
     let records = running.records().await?;
     let arrived: u64 = records.iter().map(|records| records.arrived).sum();
     let probes = records.iter().map(|records| records.probes).max().unwrap_or(0);
@@ -38,7 +38,7 @@
     let served = (measured.requests - measured.refused).max(1) as f64;
     Ok(SystemCost {
         extra_share: arrived as f64 / served - 1.0,
-        probe_share_max: probes as f64 * PROBE_S / target_time_s,
+        probe_share_max: probes as f64 * PROBE_DURATION_S / target_time_s,
         cpu_us_per_request: used.as_micros() as f64 / requests.max(1) as f64,
     })
 }
--- a/crates/bench/examples/scenario/faults.rs
+++ b/crates/bench/examples/scenario/faults.rs
@@ -1,4 +1,4 @@
-//! Switches faults on and off at their times.
+//! Starts and ends the faults of a scenario at their scheduled times.
 
 use shallotfork_standin::load::{Fault, FaultKind, Scenario};
 use shallotfork_standin::platform::ReplicaMode;
@@ -6,78 +6,78 @@
 use shallotfork_tests::Running;
 use tokio::time::Instant;
 
-/// Length of each quiet and of each noisy turn.
-const NOISE_TURN_MS: u64 = 20;
+/// Duration of each quiet and each noisy phase of a target with noise, in milliseconds.
+const NOISE_PHASE_MS: u64 = 20;
 const FAIL_STATUS: u16 = 500;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Step {
-    /// Targets forget what they counted during the warm-up.
-    WarmedUp,
-    On(usize),
-    Off(usize),
+enum Event {
+    /// The warm-up is over; the targets' counters are reset.
+    WarmUpEnded,
+    FaultStarted(usize),
+    FaultEnded(usize),
 }
 
-/// Plays the scenario's faults until its end.
-pub async fn play(
+/// Applies the faults of the scenario until its end.
+pub async fn run_faults(
     scenario: &Scenario,
     running: &mut Running,
-    begin: Instant,
+    started_at: Instant,
 ) -> anyhow::Result<()> {
-    let mut steps = vec![(scenario.warm_up, Step::WarmedUp)];
-    for (number, fault) in scenario.faults.iter().enumerate() {
-        steps.push((fault.from, Step::On(number)));
-        steps.push((fault.from + fault.lasts, Step::Off(number)));
+    let mut events = vec![(scenario.warm_up, Event::WarmUpEnded)];
+    for (index, fault) in scenario.faults.iter().enumerate() {
+        events.push((fault.from, Event::FaultStarted(index)));
+        events.push((fault.from + fault.lasts, Event::FaultEnded(index)));
     }
-    steps.sort();
+    events.sort();
     let mut active = vec![false; scenario.faults.len()];
-    for (at, step) in steps.into_iter().filter(|(at, _)| *at < scenario.length) {
-        tokio::time::sleep_until(begin + at).await;
-        match step {
-            Step::WarmedUp => forget(running).await?,
-            Step::On(number) => {
-                active[number] = true;
-                change(scenario, running, &active, number).await?;
+    for (at, event) in events.into_iter().filter(|(at, _)| *at < scenario.length) {
+        tokio::time::sleep_until(started_at + at).await;
+        match event {
+            Event::WarmUpEnded => reset_target_records(running).await?,
+            Event::FaultStarted(index) => {
+                active[index] = true;
+                apply_fault(scenario, running, &active, index).await?;
             }
-            Step::Off(number) => {
-                active[number] = false;
-                change(scenario, running, &active, number).await?;
+            Event::FaultEnded(index) => {
+                active[index] = false;
+                apply_fault(scenario, running, &active, index).await?;
             }
         }
     }
-    resume_all(scenario, running, &active)
+    resume_paused_entries(scenario, running, &active)
 }
 
-async fn forget(running: &Running) -> anyhow::Result<()> {
+async fn reset_target_records(running: &Running) -> anyhow::Result<()> {
     for target in &running.targets {
         target.reset_records().await?;
     }
     Ok(())
 }
 
-async fn change(
+async fn apply_fault(
     scenario: &Scenario,
     running: &mut Running,
     active: &[bool],
-    number: usize,
+    index: usize,
 ) -> anyhow::Result<()> {
-    let fault = &scenario.faults[number];
+    let fault = &scenario.faults[index];
     match fault.kind {
-        FaultKind::KillEntry if active[number] => {
+        FaultKind::KillEntry if active[index] => {
             for entry in &fault.hits {
                 running.entries[*entry].program.kill().await?;
             }
             Ok(())
         }
         FaultKind::KillEntry => Ok(()),
-        FaultKind::PauseEntry => pause(running, fault, active[number]),
+        FaultKind::PauseEntry => set_paused(running, fault, active[index]),
         FaultKind::PlatformDown => {
-            let mode = if active[number] { ReplicaMode::Down } else { ReplicaMode::Serving };
+            let mode = if active[index] { ReplicaMode::Down } else { ReplicaMode::Serving };
             running.platform.set_mode(mode).await
         }
         FaultKind::Drain => {
             for target in &fault.hits {
-                running.targets[*target].published_draining = active[number];
+                running.targets[*target].published_draining = active[index];
             }
             running.publish_targets(&scenario.service.name).await
         }
@@ -85,23 +85,31 @@
     }
 }
 
-fn pause(running: &Running, fault: &Fault, on: bool) -> anyhow::Result<()> {
+fn set_paused(running: &Running, fault: &Fault, is_paused: bool) -> anyhow::Result<()> {
     for entry in &fault.hits {
         let program = &running.entries[*entry].program;
-        if on { program.pause()? } else { program.resume()? }
+        if is_paused { program.pause()? } else { program.resume()? }
     }
     Ok(())
 }
 
-fn resume_all(scenario: &Scenario, running: &Running, active: &[bool]) -> anyhow::Result<()> {
-    let paused = scenario.faults.iter().zip(active);
-    for (fault, _) in paused.filter(|(fault, on)| **on && fault.kind == FaultKind::PauseEntry) {
-        pause(running, fault, false)?;
+fn resume_paused_entries(
+    scenario: &Scenario,
+    running: &Running,
+    active: &[bool],
+) -> anyhow::Result<()> {
+    let faults = scenario.faults.iter().zip(active);
+    for (fault, _) in
+        faults.filter(|(fault, is_active)| **is_active && fault.kind == FaultKind::PauseEntry)
+    {
+        set_paused(running, fault, false)?;
     }
     Ok(())
 }
 
-/// A target has one set of faults: all that are active for it, together.
+/// Sets the faults of the targets hit by `changed`.
+///
+/// Setting faults replaces the earlier ones, so all active faults of a target are sent together.
 async fn set_target_faults(
     scenario: &Scenario,
     running: &Running,
@@ -110,20 +118,22 @@
 ) -> anyhow::Result<()> {
     for target in &changed.hits {
         let mut faults = TargetFaults::default();
-        let of_target = scenario.faults.iter().zip(active);
-        for (fault, _) in of_target.filter(|(fault, on)| **on && fault.hits.contains(target)) {
-            add(&mut faults, fault.kind);
+        let candidates = scenario.faults.iter().zip(active);
+        for (fault, _) in
+            candidates.filter(|(fault, is_active)| **is_active && fault.hits.contains(target))
+        {
+            add_fault(&mut faults, fault.kind);
         }
         running.targets[*target].set_faults(faults).await?;
     }
     Ok(())
 }
 
-fn add(faults: &mut TargetFaults, kind: FaultKind) {
+fn add_fault(faults: &mut TargetFaults, kind: FaultKind) {
     match kind {
         FaultKind::Straggler(permille) => faults.slowdown_permille = permille,
         FaultKind::Noise(slowdown_permille) => {
-            faults.noise = Some(Noise { turn_ms: NOISE_TURN_MS, slowdown_permille });
+            faults.noise = Some(Noise { turn_ms: NOISE_PHASE_MS, slowdown_permille });
         }
         FaultKind::FailFast => faults.fail_status = Some(FAIL_STATUS),
         FaultKind::Frozen => faults.frozen = true,
--- a/crates/bench/examples/scenario/main.rs
+++ b/crates/bench/examples/scenario/main.rs
@@ -1,11 +1,11 @@
-//! Runs a scenario file against real processes and prints a table.
+//! Runs a scenario file against real processes and prints a table of the results.
 //!
 //! `cargo run --release -p shallotfork-bench --example scenario -- FILE [--policies A,B]
 //! [--load PERMILLE] [--rounds N] [--length-ms N] [--plot FILE.svg]`
 //!
-//! A policy is one of the settings' `[balance] policy`, with `@N` for `entries_per_service`.
-//! Policies take turns within each round, each time with processes of their own. Build the
-//! programs first, with the same profile: `cargo build --release --workspace --bins`.
+//! A policy is a value of the setting `[balance] policy`; a suffix `@N` sets `entries_per_service`.
+//! Every round runs each policy once, with new processes. Build the programs first, with the same
+//! profile: `cargo build --release --workspace --bins`.
 
 mod cost;
 mod faults;
@@ -32,14 +32,14 @@
 
 #[tokio::main]
 async fn main() -> anyhow::Result<()> {
-    let Options { scenario, policies, plot: plot_path } = options()?;
+    let Options { scenario, policies, plot: plot_path } = parse_options()?;
     let planned = arrivals(&scenario);
-    let named = |policy: &PolicyUnderTest| Row {
+    let empty_row = |policy: &PolicyUnderTest| Row {
         name: policy.name.clone(),
         rounds: Vec::new(),
         costs: Vec::new(),
     };
-    let mut rows: Vec<Row> = policies.iter().map(named).collect();
+    let mut rows: Vec<Row> = policies.iter().map(empty_row).collect();
     for round in 0..scenario.rounds {
         for (row, policy) in rows.iter_mut().zip(&policies) {
             let (measured, cost) = measure(&scenario, &planned, policy)
@@ -59,7 +59,7 @@
     }
 }
 
-fn options() -> anyhow::Result<Options> {
+fn parse_options() -> anyhow::Result<Options> {
     let mut args = Parser::from_env();
     let mut file: Option<PathBuf> = None;
     let mut policies = DEFAULT_POLICIES.to_owned();
@@ -78,7 +78,7 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    let Some(file) = file else { bail!("which scenario file?") };
+    let Some(file) = file else { bail!("no scenario file given") };
     let text = std::fs::read_to_string(&file).with_context(|| file.display().to_string())?;
     let mut scenario: Scenario = text.parse().with_context(|| file.display().to_string())?;
     scenario.service.load = load.unwrap_or(scenario.service.load);
--- a/crates/bench/examples/scenario/system.rs
+++ b/crates/bench/examples/scenario/system.rs
@@ -1,4 +1,4 @@
-//! One run of a scenario against a system of real processes.
+//! Runs a scenario once against a system of real processes.
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -11,16 +11,16 @@
 use shallotfork_tests::{Case, Running};
 use tokio::time::Instant;
 
-use crate::cost::{CpuReading, system_cost};
-use crate::faults::play;
+use crate::cost::{EntryCpuTime, system_cost};
+use crate::faults::run_faults;
 
-/// Sends of a request where entries fail.
-const SENDS_MAX: usize = 2;
+/// Limit on how often a caller sends a request in a scenario whose faults hit entries.
+const CALLER_SENDS_MAX: usize = 2;
 
-/// What one row of the table stands for.
+/// Balancing policy measured in one row of the table.
 #[derive(Debug, Clone)]
 pub struct PolicyUnderTest {
-    /// As given.
+    /// Name as given on the command line.
     pub name: String,
     policy: String,
     entries_per_service: Option<String>,
@@ -39,29 +39,32 @@
     }
 }
 
-/// Starts a system, plays the scenario and reads what it cost.
+/// Starts a system, runs the scenario on it and reads its cost.
 pub async fn measure(
     scenario: &Scenario,
     planned: &[Arrival],
     policy: &PolicyUnderTest,
 ) -> anyhow::Result<(Measured, SystemCost)> {
-    let mut running = case(scenario, policy).start().await?;
-    let callers = callers(scenario, &running)?;
+    let mut running = build_case(scenario, policy).start().await?;
+    let callers = build_callers(scenario, &running)?;
     for caller in &callers {
-        caller.entries(&scenario.service.name).await.context("which entries to use")?;
+        caller
+            .entries(&scenario.service.name)
+            .await
+            .context("cannot read the advertised entries")?;
     }
-    let before = CpuReading::of_entries(&running);
-    let begin = Instant::now();
-    let load = open_loop(scenario, planned, &callers, begin);
-    let faults = play(scenario, &mut running, begin);
+    let before = EntryCpuTime::read(&running);
+    let started_at = Instant::now();
+    let load = open_loop(scenario, planned, &callers, started_at);
+    let faults = run_faults(scenario, &mut running, started_at);
     let (measured, faults) = futures::future::join(load, faults).await;
-    faults.context("a fault")?;
+    faults.context("cannot apply a fault")?;
     let measured = measured?;
     let cost = system_cost(scenario, &running, &before, &measured, planned.len()).await?;
     Ok((measured, cost))
 }
 
-fn case(scenario: &Scenario, policy: &PolicyUnderTest) -> Case {
+fn build_case(scenario: &Scenario, policy: &PolicyUnderTest) -> Case {
     let service = &scenario.service;
     let deadline_ms = scenario.deadline.as_millis();
     let rules = format!("[all]\nthen.deadline_ms = {deadline_ms}\nthen.hedge = yes\n");
@@ -79,21 +82,23 @@
     }
 }
 
-/// A refused request counts as refused; a resend would hide that.
-fn sends_max(scenario: &Scenario) -> usize {
-    let of_entries =
+/// Returns how often a caller may send a request.
+///
+/// It is once, unless faults hit entries: a resend would hide rejected requests from the results.
+fn caller_sends_max(scenario: &Scenario) -> usize {
+    let hits_entries =
         |fault: &Fault| matches!(fault.kind, FaultKind::KillEntry | FaultKind::PauseEntry);
-    if scenario.faults.iter().any(of_entries) { SENDS_MAX } else { 1 }
+    if scenario.faults.iter().any(hits_entries) { CALLER_SENDS_MAX } else { 1 }
 }
 
-/// Each caller knows all entries, starting with another one.
-fn callers(scenario: &Scenario, running: &Running) -> anyhow::Result<Vec<Arc<Caller>>> {
+/// Creates callers that know all entries, each starting with a different one.
+fn build_callers(scenario: &Scenario, running: &Running) -> anyhow::Result<Vec<Arc<Caller>>> {
     let mut entries = running.caller_addresses();
     let mut callers = Vec::new();
     for _ in 0..scenario.callers {
         entries.rotate_left(1);
         let config = CallerConfig::new(entries.clone())
-            .with_attempts_max(sends_max(scenario))
+            .with_attempts_max(caller_sends_max(scenario))
             .with_timeout(scenario.deadline * 2);
         callers.push(Arc::new(Caller::new(config)?));
     }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,6 +1,6 @@
-//! What the measuring programs share: the kernel's account of a process.
+//! Processor time and memory of processes, shared by the measurement programs.
 //!
-//! The programs themselves are this crate's examples; `docs/measurements.md` says how to run them.
+//! The programs are the examples of this crate; `docs/measurements.md` describes how to run them.
 
 mod process;
 
