--- a/crates/slopes/src/main.rs
+++ b/crates/slopes/src/main.rs
@@ -1,7 +1,7 @@
-//! Measures what control state costs in processor time and memory, at several sizes each.
+//! Measures the processor time and memory of control state at several sizes.
 //!
-//! `docs/CAPACITY.md` multiplies these slopes up to the size to design for. Run it in a release
-//! build on a quiet machine: `cargo run --release -p shallotfork-slopes`.
+//! `docs/CAPACITY.md` extrapolates these results (slopes) to the design size. Run it as a release
+//! build on an otherwise idle machine: `cargo run --release -p shallotfork-slopes`.
 
 mod lists;
 mod measure;
@@ -13,15 +13,15 @@
 use anyhow::Result;
 
 fn main() -> Result<()> {
-    measure::print_head();
-    lists::lists_memory()?;
-    rules::rules_memory()?;
-    pools::pools_memory()?;
-    operations::operations_memory()?;
-    lists::lists()?;
-    rules::rules()?;
-    members::members()?;
-    operations::operations()?;
-    pools::pools()?;
+    measure::print_header();
+    lists::print_memory()?;
+    rules::print_memory()?;
+    pools::print_memory()?;
+    operations::print_memory()?;
+    lists::print_times()?;
+    rules::print_times()?;
+    members::print_times()?;
+    operations::print_times()?;
+    pools::print_times()?;
     Ok(())
 }
--- a/crates/slopes/src/measure.rs
+++ b/crates/slopes/src/measure.rs
@@ -1,49 +1,49 @@
-//! Timing, resident memory and the table.
+//! Measurement of processor time and resident memory, and the table of results.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
 use anyhow::{Context as _, Result};
 
-/// Rounds of one measurement; their median is printed, with the spread.
+/// Rounds of one measurement; the table shows their median, minimum and maximum.
 const ROUNDS: usize = 7;
 
-/// Time that one round should take at least, so that the clock's steps do not matter.
-const ROUND_MIN: Duration = Duration::from_millis(20);
+/// Minimum duration of a round, so that the resolution of the clock does not matter.
+const ROUND_DURATION_MIN: Duration = Duration::from_millis(20);
 
-/// Bytes in one page of memory on the machines that this runs on.
+/// Size of a memory page on the machines on which this program runs.
 const PAGE_BYTES: u64 = 4096;
 
-/// Prints the head of the table.
-pub fn print_head() {
+/// Prints the header of the table.
+pub fn print_header() {
     println!("| what | size | median | least | most | unit |");
     println!("|---|---|---|---|---|---|");
 }
 
-/// Measures the processor time of one call of `work`, in nanoseconds, and prints a row.
-pub fn time<T>(what: &str, size: usize, mut work: impl FnMut() -> T) {
+/// Measures the time of one call of `work` in nanoseconds and prints a row.
+pub fn measure_time<T>(what: &str, size: usize, mut work: impl FnMut() -> T) {
     let calls = calls_per_round(&mut work);
-    let mut rounds: Vec<f64> = (0..ROUNDS).map(|_| round(calls, &mut work)).collect();
+    let mut rounds: Vec<f64> = (0..ROUNDS).map(|_| time_round(calls, &mut work)).collect();
     rounds.sort_by(f64::total_cmp);
-    row(what, size, &rounds, "ns");
+    print_row(what, size, &rounds, "ns");
 }
 
-/// Measures the resident memory that `make` leaves behind for each of `items`, and prints a row.
+/// Measures the resident memory per item of a value with `items` items and prints a row.
 ///
-/// What was made is never freed: later measurements would fill the freed pages and show nothing.
+/// The values are never freed: later measurements would reuse the freed pages and show no growth.
 ///
 /// # Errors
-/// When the kernel's account of this process cannot be read.
-pub fn memory<T>(what: &str, items: usize, make: impl Fn() -> T) -> Result<()> {
+/// When the resident memory of this process cannot be read.
+pub fn measure_memory<T>(what: &str, items: usize, build: impl Fn() -> T) -> Result<()> {
     let mut rounds = Vec::new();
     for _ in 0..ROUNDS {
         let before = resident_bytes()?;
-        std::mem::forget(black_box(make()));
-        let grown = resident_bytes()?.saturating_sub(before);
-        rounds.push(grown as f64 / items as f64);
+        std::mem::forget(black_box(build()));
+        let growth = resident_bytes()?.saturating_sub(before);
+        rounds.push(growth as f64 / items as f64);
     }
     rounds.sort_by(f64::total_cmp);
-    row(what, items, &rounds, "bytes each");
+    print_row(what, items, &rounds, "bytes each");
     Ok(())
 }
 
@@ -54,14 +54,14 @@
         for _ in 0..calls {
             black_box(work());
         }
-        if started.elapsed() >= ROUND_MIN {
+        if started.elapsed() >= ROUND_DURATION_MIN {
             return calls;
         }
         calls *= 2;
     }
 }
 
-fn round<T>(calls: u32, work: &mut impl FnMut() -> T) -> f64 {
+fn time_round<T>(calls: u32, work: &mut impl FnMut() -> T) -> f64 {
     let started = Instant::now();
     for _ in 0..calls {
         black_box(work());
@@ -69,14 +69,14 @@
     started.elapsed().as_nanos() as f64 / f64::from(calls)
 }
 
-fn row(what: &str, size: usize, sorted: &[f64], unit: &str) {
+fn print_row(what: &str, size: usize, sorted: &[f64], unit: &str) {
     let median = sorted[sorted.len() / 2];
     let (least, most) = (sorted[0], sorted[sorted.len() - 1]);
     println!("| {what} | {size} | {median:.0} | {least:.0} | {most:.0} | {unit} |");
 }
 
 fn resident_bytes() -> Result<u64> {
-    let account = std::fs::read_to_string("/proc/self/statm")?;
-    let pages = account.split_whitespace().nth(1).context("statm has a second field")?;
+    let statm = std::fs::read_to_string("/proc/self/statm")?;
+    let pages = statm.split_whitespace().nth(1).context("statm has no second field")?;
     Ok(pages.parse::<u64>()? * PAGE_BYTES)
 }
--- a/crates/slopes/src/members.rs
+++ b/crates/slopes/src/members.rs
@@ -1,4 +1,4 @@
-//! Membership: heartbeats, the view and the groups of entries that serve a service.
+//! Costs of membership: heartbeats, the view and the groups of entries that serve a service.
 
 use std::collections::BTreeSet;
 
@@ -11,9 +11,9 @@
 use shallotfork_types::{Incarnation, Mono, PerSecond, Revision, ServiceName, TargetId};
 
 use crate::lists::TARGETS_PER_SERVICE;
-use crate::measure::time;
+use crate::measure::measure_time;
 
-const GROUP: u32 = 4;
+const GROUP_SIZE: u32 = 4;
 
 fn announcement(index: usize) -> Result<Announcement> {
     let port = 1024 + index;
@@ -28,11 +28,11 @@
     Ok(Announcement { listed, incarnation: Incarnation::new(index as u64), round: 0 })
 }
 
-/// Prints the slopes of membership.
+/// Measures and prints the processor time of membership operations.
 ///
 /// # Errors
 /// When a generated name is not valid.
-pub fn members() -> Result<()> {
+pub fn print_times() -> Result<()> {
     let service: ServiceName = "service-0".parse()?;
     let targets: Vec<TargetId> =
         (0..TARGETS_PER_SERVICE).map(|i| format!("t-{i}").parse()).collect::<Result<_, _>>()?;
@@ -42,16 +42,17 @@
         let mut view = MembershipView::new(ViewConfig::default(), &fleet[0], Mono::ZERO);
         view.set_published(Revision::new(1), &listed, Mono::ZERO);
         view.monitor(&BTreeSet::new(), Mono::ZERO);
-        time("take a heartbeat", count, || view.receive_heartbeat(&fleet[1], Mono::ZERO));
-        time("list the entries", count, || view.entries());
+        measure_time("take a heartbeat", count, || view.receive_heartbeat(&fleet[1], Mono::ZERO));
+        measure_time("list the entries", count, || view.entries());
         let entries = view.entries();
         let own = &fleet[0].listed.vm;
-        time("group of a service and its home targets", count, || {
-            service_group(&service, &entries, GroupSize::new(GROUP)).home_targets(own, &targets)
+        measure_time("group of a service and its home targets", count, || {
+            service_group(&service, &entries, GroupSize::new(GROUP_SIZE))
+                .home_targets(own, &targets)
         });
         let preference = CallerPreference { failure_domain: None, rotation: 3 };
-        time("entries for a caller", count, || {
-            entries_for(&service, &entries, GroupSize::new(GROUP), &preference)
+        measure_time("entries for a caller", count, || {
+            entries_for(&service, &entries, GroupSize::new(GROUP_SIZE), &preference)
         });
     }
     Ok(())
--- a/crates/slopes/src/pools.rs
+++ b/crates/slopes/src/pools.rs
@@ -1,4 +1,4 @@
-//! The pool of one service: choosing a target and taking note of the answer.
+//! Costs of the pool of one service: selecting a target and recording the outcome of the attempt.
 
 use std::time::Duration;
 
@@ -7,52 +7,52 @@
 use shallotfork_types::Mono;
 
 use crate::lists::TARGETS_PER_SERVICE;
-use crate::measure::{memory, time};
+use crate::measure::{measure_memory, measure_time};
 
-fn targets(service: usize, count: usize) -> Result<Vec<PoolTarget>> {
-    let one = |index: usize| {
+fn pool_targets(service: usize, count: usize) -> Result<Vec<PoolTarget>> {
+    let target = |index: usize| {
         let id = format!("service-{service}-target-{index}").parse()?;
         Ok(PoolTarget::new(id, format!("domain-{}", index % 3).parse()?, 2))
     };
-    (0..count).map(one).collect()
+    (0..count).map(target).collect()
 }
 
-fn pool(service: usize, count: usize) -> Result<Pool> {
+fn new_pool(service: usize, count: usize) -> Result<Pool> {
     let mut pool = Pool::new(PoolConfig::default(), 1);
-    pool.set_targets(&targets(service, count)?, Mono::ZERO);
+    pool.set_targets(&pool_targets(service, count)?, Mono::ZERO);
     Ok(pool)
 }
 
-/// Prints the slopes of pools.
+/// Measures and prints the processor time of pool operations.
 ///
 /// # Errors
 /// When a generated name is not valid or memory cannot be read.
-pub fn pools() -> Result<()> {
+pub fn print_times() -> Result<()> {
     for count in [6, 20, 60] {
-        let mut pool = pool(0, count)?;
+        let mut pool = new_pool(0, count)?;
         let mut now_us = 0;
-        time("admit and finish a request", count, || {
+        measure_time("admit and finish a request", count, || {
             now_us += 1000;
             let now = Mono::from_micros(now_us);
-            let ask = PoolRequest::new(now.plus(Duration::from_secs(1)));
-            if let Admission::Send(assignment) = pool.admit(ask, now) {
+            let request = PoolRequest::new(now.plus(Duration::from_secs(1)));
+            if let Admission::Send(assignment) = pool.admit(request, now) {
                 let outcome = AttemptOutcome::Answered { latency: Duration::from_millis(5) };
                 pool.finish(assignment.attempt, outcome, None, now);
             }
         });
-        let all = targets(0, count)?;
-        time("set the targets of a pool", count, || pool.set_targets(&all, Mono::ZERO));
+        let all = pool_targets(0, count)?;
+        measure_time("set the targets of a pool", count, || pool.set_targets(&all, Mono::ZERO));
     }
     Ok(())
 }
 
-/// Prints the memory of pools.
+/// Measures and prints the memory of pools.
 ///
 /// # Errors
-/// When a list is not valid or memory cannot be read.
-pub fn pools_memory() -> Result<()> {
-    memory("targets in pools of 15", 1200 * TARGETS_PER_SERVICE, || {
-        (0..1200).map(|service| pool(service, TARGETS_PER_SERVICE)).collect::<Vec<_>>()
+/// When the resident memory cannot be read.
+pub fn print_memory() -> Result<()> {
+    measure_memory("targets in pools of 15", 1200 * TARGETS_PER_SERVICE, || {
+        (0..1200).map(|service| new_pool(service, TARGETS_PER_SERVICE)).collect::<Vec<_>>()
     })?;
     Ok(())
 }
--- a/crates/slopes/src/rules.rs
+++ b/crates/slopes/src/rules.rs
@@ -1,16 +1,16 @@
-//! Rule lists: checking one, and deciding a request.
+//! Costs of rule lists: checking a list and deciding a request.
 
 use anyhow::{Result, bail};
 use jiff::Timestamp;
 use shallotfork_rules::{LoadHysteresis, RequestContext, RuleList};
 use shallotfork_types::Permille;
 
-use crate::measure::{memory, time};
+use crate::measure::{measure_memory, measure_time};
 
-/// Rules in the list whose memory is measured.
-const RULES: usize = 5000;
+/// Number of rules in the list whose memory is measured.
+const RULE_COUNT: usize = 5000;
 
-fn text(rules: usize) -> String {
+fn rules_text(rules: usize) -> String {
     let mut text = String::new();
     for index in 1..rules {
         text.push_str(&format!(
@@ -22,18 +22,18 @@
     text
 }
 
-fn parse(text: &str) -> Result<RuleList> {
+fn parse_rules(text: &str) -> Result<RuleList> {
     match RuleList::parse(text) {
         Ok(list) => Ok(list),
         Err(errors) => bail!("{} errors in a generated rule list", errors.len()),
     }
 }
 
-/// Prints the slopes of rule lists.
+/// Measures and prints the processor time of operations on rule lists.
 ///
 /// # Errors
-/// When a list is not valid or memory cannot be read.
-pub fn rules() -> Result<()> {
+/// When a generated name or list is not valid.
+pub fn print_times() -> Result<()> {
     let request_context = RequestContext {
         caller: Some("caller-0".parse()?),
         service: "service-0".parse()?,
@@ -41,23 +41,23 @@
         load: Some(Permille::new(500)),
     };
     for count in [10, 100, 1000] {
-        let text = text(count);
+        let text = rules_text(count);
         println!("| text of a rule list | {count} | {} | | | bytes |", text.len());
-        time("check a rule list", count, || RuleList::parse(&text));
-        let list = parse(&text)?;
+        measure_time("check a rule list", count, || RuleList::parse(&text));
+        let list = parse_rules(&text)?;
         let mut load_hysteresis = LoadHysteresis::new(&list);
-        time("decide by the last rule", count, || {
+        measure_time("decide by the last rule", count, || {
             list.decide(&request_context, &mut load_hysteresis).outcome.clone()
         });
     }
     Ok(())
 }
 
-/// Prints the memory of rule lists.
+/// Measures and prints the memory of rule lists.
 ///
 /// # Errors
-/// When a list is not valid or memory cannot be read.
-pub fn rules_memory() -> Result<()> {
-    let large = text(RULES);
-    memory("rules in typed form", RULES, || parse(&large))
+/// When the resident memory cannot be read.
+pub fn print_memory() -> Result<()> {
+    let large = rules_text(RULE_COUNT);
+    measure_memory("rules in typed form", RULE_COUNT, || parse_rules(&large))
 }
