--- a/crates/shallotctl/src/args.rs
+++ b/crates/shallotctl/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line parsing.
 
 use std::ffi::{OsStr, OsString};
 use std::fmt::Display;
@@ -17,10 +17,10 @@
 use crate::entries_config::EntriesConfig;
 use crate::help;
 
-/// What the command line asks for.
+/// A parsed command line.
 #[derive(Debug)]
-pub enum Request {
-    /// Print this text.
+pub enum Invocation {
+    /// Print a help text.
     Help(&'static str),
     /// Print the version.
     Version,
@@ -28,31 +28,31 @@
     Check(CheckConfig),
     /// Explain a decision.
     Explain(ExplainConfig),
-    /// Show what entries do.
+    /// Show the state of entries.
     Status(StatusConfig),
-    /// Wait for a revision.
+    /// Wait until a revision is in force.
     Watch(WatchConfig),
-    /// Show changes.
+    /// Show the audit trails of entries.
     Audit(AuditConfig),
 }
 
-/// Reads the command line.
+/// Parses the command line.
 ///
 /// # Errors
 /// When the command or an option is unknown, or a value is missing or malformed.
-pub fn args(mut parser: Parser) -> Result<Request> {
+pub fn parse_args(mut parser: Parser) -> Result<Invocation> {
     let first = parser.next()?;
     match first {
-        Some(Long("help") | Short('h')) => Ok(Request::Help(help::MAIN)),
-        Some(Long("version") | Short('V')) => Ok(Request::Version),
-        Some(Value(command)) => read_command(command, &mut parser),
+        Some(Long("help") | Short('h')) => Ok(Invocation::Help(help::MAIN)),
+        Some(Long("version") | Short('V')) => Ok(Invocation::Version),
+        Some(Value(command)) => parse_command(command, &mut parser),
         Some(other) => Err(other.unexpected().into()),
         None => bail!("no command given"),
     }
 }
 
-fn read_command(command: OsString, parser: &mut Parser) -> Result<Request> {
-    let options = Options::read(parser)?;
+fn parse_command(command: OsString, parser: &mut Parser) -> Result<Invocation> {
+    let options = Options::parse_all(parser)?;
     match command.to_str() {
         Some("check") => options.check(),
         Some("explain") => options.explain(),
@@ -63,7 +63,7 @@
     }
 }
 
-/// Options of any command; each command takes those that it knows.
+/// Arguments after the command name; each command removes those that it supports.
 #[derive(Debug, Default)]
 struct Options {
     help: bool,
@@ -73,7 +73,7 @@
 }
 
 impl Options {
-    fn read(parser: &mut Parser) -> Result<Self> {
+    fn parse_all(parser: &mut Parser) -> Result<Self> {
         let mut options = Self::default();
         while let Some(argument) = parser.next()? {
             match argument {
@@ -92,25 +92,25 @@
         Ok(options)
     }
 
-    fn check(mut self) -> Result<Request> {
+    fn check(mut self) -> Result<Invocation> {
         if self.help {
-            return Ok(Request::Help(help::CHECK));
+            return Ok(Invocation::Help(help::CHECK));
         }
         let file = self.operand.take().context("FILE is missing")?.into();
         let service = self.parse("service")?;
         let config = CheckConfig { file, service, json: self.json };
-        self.finish(Request::Check(config))
+        self.finish(Invocation::Check(config))
     }
 
-    fn explain(mut self) -> Result<Request> {
+    fn explain(mut self) -> Result<Invocation> {
         if self.help {
-            return Ok(Request::Help(help::EXPLAIN));
+            return Ok(Invocation::Help(help::EXPLAIN));
         }
         let file = self.take("rules");
         let entries = self.entries()?;
-        let part = self.take("service-rules");
-        let source = match (file, part, entries.entries.len()) {
-            (Some(file), part, 0) => RulesSource::Files(file.into(), part.map(Into::into)),
+        let own_rules = self.take("service-rules");
+        let source = match (file, own_rules, entries.entries.len()) {
+            (Some(file), own, 0) => RulesSource::Files(file.into(), own.map(Into::into)),
             (None, None, 1) => RulesSource::Entry(entries),
             _ => bail!("give either --rules FILE or one --entry ADDR"),
         };
@@ -122,43 +122,43 @@
             load: self.parse::<Permille>("load")?,
             json: self.json,
         };
-        self.finish(Request::Explain(config))
+        self.finish(Invocation::Explain(config))
     }
 
-    fn status(mut self) -> Result<Request> {
+    fn status(mut self) -> Result<Invocation> {
         if self.help {
-            return Ok(Request::Help(help::STATUS));
+            return Ok(Invocation::Help(help::STATUS));
         }
-        let config = StatusConfig { entries: self.some_entries()?, json: self.json };
-        self.finish(Request::Status(config))
+        let config = StatusConfig { entries: self.required_entries()?, json: self.json };
+        self.finish(Invocation::Status(config))
     }
 
-    fn watch(mut self) -> Result<Request> {
+    fn watch(mut self) -> Result<Invocation> {
         if self.help {
-            return Ok(Request::Help(help::WATCH));
+            return Ok(Invocation::Help(help::WATCH));
         }
         let revision = self.operand.take().context("REVISION is missing")?;
         let revision = parse_as(&revision, "REVISION")?;
-        let mut config = WatchConfig::new(revision, self.some_entries()?);
+        let mut config = WatchConfig::new(revision, self.required_entries()?);
         config.json = self.json;
         if let Some(list) = self.parse("list")? {
             config.list = list;
         }
-        if let Some(wait_ms) = self.parse("for-ms")? {
-            config.wait = Duration::from_millis(wait_ms);
+        if let Some(timeout_ms) = self.parse("for-ms")? {
+            config.timeout = Duration::from_millis(timeout_ms);
         }
-        self.finish(Request::Watch(config))
+        self.finish(Invocation::Watch(config))
     }
 
-    fn audit(mut self) -> Result<Request> {
+    fn audit(mut self) -> Result<Invocation> {
         if self.help {
-            return Ok(Request::Help(help::AUDIT));
+            return Ok(Invocation::Help(help::AUDIT));
         }
-        let config = AuditConfig { entries: self.some_entries()?, json: self.json };
-        self.finish(Request::Audit(config))
+        let config = AuditConfig { entries: self.required_entries()?, json: self.json };
+        self.finish(Invocation::Audit(config))
     }
 
-    fn some_entries(&mut self) -> Result<EntriesConfig> {
+    fn required_entries(&mut self) -> Result<EntriesConfig> {
         let entries = self.entries()?;
         ensure!(!entries.entries.is_empty(), "--entry is missing");
         Ok(entries)
@@ -191,15 +191,15 @@
         parse_as(&value, &format!("--{name}")).map(Some)
     }
 
-    /// Refuses what the command did not take.
-    fn finish(self, request: Request) -> Result<Request> {
+    /// Fails if the command left an option or the operand unused.
+    fn finish(self, invocation: Invocation) -> Result<Invocation> {
         if let Some((name, _)) = self.named.first() {
             bail!("unknown option --{name}");
         }
         if let Some(operand) = self.operand {
             bail!("unexpected argument {}", operand.display());
         }
-        Ok(request)
+        Ok(invocation)
     }
 }
 
--- a/crates/shallotctl/src/command.rs
+++ b/crates/shallotctl/src/command.rs
@@ -1,4 +1,4 @@
-//! One file per command.
+//! Commands of `shallotctl`, one module each.
 
 mod audit;
 mod audit_config;
--- a/crates/shallotctl/src/command/audit.rs
+++ b/crates/shallotctl/src/command/audit.rs
@@ -1,4 +1,4 @@
-//! `shallotctl audit`: which changes took effect, when and where.
+//! `shallotctl audit`: shows which list changes entries accepted or refused, and when.
 
 use anyhow::Result;
 use serde::Serialize;
@@ -6,11 +6,11 @@
 use shallotfork_types::{Endpoint, Revision, VmId};
 
 use super::AuditConfig;
-use crate::entries::{Answer, Entries};
-use crate::exit::Exit;
+use crate::entries::{EntriesClient, EntryResponse};
+use crate::exit::ExitStatus;
 use crate::table::Table;
 
-/// Digits of a digest that are shown to people.
+/// Number of digest digits shown in the table.
 const SHOWN_DIGEST_DIGITS: usize = 12;
 
 #[derive(Debug, Serialize)]
@@ -35,22 +35,22 @@
 /// Prints the changes of all entries, oldest first.
 ///
 /// # Errors
-/// When the token cannot be read.
-pub async fn audit(config: &AuditConfig) -> Result<Exit> {
-    let answers = Entries::new(config.entries.clone())?.audit().await;
-    let trail = AuditJson::from(answers);
+/// When the token file cannot be read or the HTTP client cannot be set up.
+pub async fn audit(config: &AuditConfig) -> Result<ExitStatus> {
+    let responses = EntriesClient::new(config.entries.clone())?.audit().await;
+    let trail = AuditJson::from(responses);
     if config.json {
         println!("{}", serde_json::to_string_pretty(&trail)?);
     } else {
-        print!("{}", shown(&trail));
+        print!("{}", render(&trail));
     }
-    Ok(if trail.unanswered.is_empty() { Exit::Done } else { Exit::Failed })
+    Ok(if trail.unanswered.is_empty() { ExitStatus::Success } else { ExitStatus::Failure })
 }
 
-impl From<Vec<Answer<AuditReport>>> for AuditJson {
-    fn from(answers: Vec<Answer<AuditReport>>) -> Self {
+impl From<Vec<EntryResponse<AuditReport>>> for AuditJson {
+    fn from(responses: Vec<EntryResponse<AuditReport>>) -> Self {
         let mut trail = Self { changes: Vec::new(), unanswered: Vec::new() };
-        for Answer { entry, report } in answers {
+        for EntryResponse { entry, report } in responses {
             match report {
                 Ok(report) => trail.add(report),
                 Err(error) => {
@@ -59,7 +59,7 @@
                 }
             }
         }
-        trail.changes.sort_by(|one, other| one.change.at.cmp(&other.change.at));
+        trail.changes.sort_by(|left, right| left.change.at.cmp(&right.change.at));
         trail
     }
 }
@@ -72,7 +72,7 @@
     }
 }
 
-fn shown(trail: &AuditJson) -> String {
+fn render(trail: &AuditJson) -> String {
     let titles = ["AT", "VM", "LIST", "FROM", "TO", "OUTCOME", "SOURCE", "DIGEST"];
     let table =
         trail.changes.iter().fold(Table::new(&titles), |table, ChangeJson { vm, change }| {
@@ -90,9 +90,9 @@
             ])
         });
     let unanswered = trail.unanswered.iter();
-    let missing: String =
+    let errors: String =
         unanswered.map(|entry| format!("{}: no answer: {}\n", entry.entry, entry.error)).collect();
-    table.render() + &missing
+    table.render() + &errors
 }
 
 fn outcome_name(outcome: AuditOutcome) -> &'static str {
--- a/crates/shallotctl/src/command/audit_config.rs
+++ b/crates/shallotctl/src/command/audit_config.rs
@@ -5,8 +5,8 @@
 /// Options of `shallotctl audit`.
 #[derive(Debug)]
 pub struct AuditConfig {
-    /// The entries to ask.
+    /// The entries to query.
     pub entries: EntriesConfig,
-    /// Output for scripts.
+    /// Whether to print JSON, for scripts.
     pub json: bool,
 }
--- a/crates/shallotctl/src/command/check.rs
+++ b/crates/shallotctl/src/command/check.rs
@@ -1,4 +1,4 @@
-//! `shallotctl check`: whether a rule list is valid.
+//! `shallotctl check`: checks whether a rule list is valid.
 
 use std::fs;
 
@@ -7,7 +7,7 @@
 use shallotfork_rules::{RuleError, RuleList, ServiceRuleList};
 
 use super::CheckConfig;
-use crate::exit::Exit;
+use crate::exit::ExitStatus;
 
 #[derive(Debug, Serialize)]
 struct CheckJson {
@@ -28,23 +28,23 @@
 ///
 /// # Errors
 /// When the file cannot be read.
-pub fn check(config: &CheckConfig) -> Result<Exit> {
+pub fn check(config: &CheckConfig) -> Result<ExitStatus> {
     let path = config.file.display();
     let text = fs::read_to_string(&config.file).with_context(|| format!("cannot read {path}"))?;
     let parsed = match config.service {
         None => RuleList::parse(&text).map(|list| list.rule_count()),
-        Some(_) => ServiceRuleList::parse(&text).map(|part| part.rule_count()),
+        Some(_) => ServiceRuleList::parse(&text).map(|list| list.rule_count()),
     };
-    let exit = if parsed.is_ok() { Exit::Done } else { Exit::No };
+    let status = if parsed.is_ok() { ExitStatus::Success } else { ExitStatus::Negative };
     if config.json {
         println!("{}", serde_json::to_string_pretty(&to_json(parsed))?);
-        return Ok(exit);
+        return Ok(status);
     }
     match parsed {
         Ok(rules) => println!("{path}: valid, {rules} rules"),
         Err(errors) => errors.iter().for_each(|error| println!("{path}: {error}")),
     }
-    Ok(exit)
+    Ok(status)
 }
 
 fn to_json(parsed: Result<usize, Vec<RuleError>>) -> CheckJson {
--- a/crates/shallotctl/src/command/check_config.rs
+++ b/crates/shallotctl/src/command/check_config.rs
@@ -9,8 +9,8 @@
 pub struct CheckConfig {
     /// File with the rule list.
     pub file: PathBuf,
-    /// The service whose own rules the file holds; a general list by default.
+    /// The service whose own rules the file holds; `None` for a general list.
     pub service: Option<ServiceName>,
-    /// Output for scripts.
+    /// Whether to print JSON, for scripts.
     pub json: bool,
 }
--- a/crates/shallotctl/src/command/explain.rs
+++ b/crates/shallotctl/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! `shallotctl explain`: which rule decides for a request, and why.
+//! `shallotctl explain`: shows which rule decides a request, and why.
 
 use std::fs;
 use std::path::Path;
@@ -12,8 +12,8 @@
 use shallotfork_types::{ListName, ServiceName};
 
 use super::{ExplainConfig, RulesSource};
-use crate::entries::Entries;
-use crate::exit::Exit;
+use crate::entries::EntriesClient;
+use crate::exit::ExitStatus;
 
 #[derive(Debug, Serialize)]
 struct ExplanationJson {
@@ -47,17 +47,17 @@
     found: String,
 }
 
-/// Prints each rule in turn down to the one that decides, and what applies.
+/// Prints each rule in turn up to the one that decides, and the outcome that applies.
 ///
 /// # Errors
 /// When the rules cannot be read.
-pub async fn explain(config: &ExplainConfig) -> Result<Exit> {
+pub async fn explain(config: &ExplainConfig) -> Result<ExitStatus> {
     let texts = read_rules(config).await?;
-    let list = match joined(&texts, &config.service) {
+    let list = match effective_rules(&texts, &config.service) {
         Ok(list) => list,
         Err(errors) => {
             errors.iter().for_each(|error| eprintln!("{error}"));
-            return Ok(Exit::No);
+            return Ok(ExitStatus::Negative);
         }
     };
     let request_context = RequestContext {
@@ -70,31 +70,31 @@
     if config.json {
         let json = ExplanationJson::from(&explanation);
         println!("{}", serde_json::to_string_pretty(&json)?);
-        return Ok(Exit::Done);
+        return Ok(ExitStatus::Success);
     }
-    print!("{}", shown(&explanation));
-    Ok(Exit::Done)
+    print!("{}", render(&explanation));
+    Ok(ExitStatus::Success)
 }
 
-/// The general list, and the service's own one if it has any.
-struct Texts {
+/// Texts of the general rule list and, if the service has one, its own rule list.
+struct RuleTexts {
     general: String,
-    part: Option<String>,
+    service_rules: Option<String>,
 }
 
-async fn read_rules(config: &ExplainConfig) -> Result<Texts> {
+async fn read_rules(config: &ExplainConfig) -> Result<RuleTexts> {
     match &config.source {
-        RulesSource::Files(general, part) => Ok(Texts {
+        RulesSource::Files(general, service_rules) => Ok(RuleTexts {
             general: read_file(general)?,
-            part: part.as_deref().map(read_file).transpose()?,
+            service_rules: service_rules.as_deref().map(read_file).transpose()?,
         }),
         RulesSource::Entry(entry) => {
-            let entries = Entries::new(entry.clone())?;
+            let entries = EntriesClient::new(entry.clone())?;
             let general = entries.list(&ListName::Rules).await?;
-            let part = ListName::ServiceRules(config.service.clone());
-            Ok(Texts {
-                general: general.context("no rule list is in force there")?,
-                part: entries.list(&part).await?,
+            let service_rules = ListName::ServiceRules(config.service.clone());
+            Ok(RuleTexts {
+                general: general.context("the entry has no rule list in force")?,
+                service_rules: entries.list(&service_rules).await?,
             })
         }
     }
@@ -104,20 +104,20 @@
     fs::read_to_string(path).with_context(|| format!("cannot read {}", path.display()))
 }
 
-/// The rules as an entry would go through them.
-fn joined(texts: &Texts, service: &ServiceName) -> Result<RuleList, Vec<RuleError>> {
+/// Returns the rules in the sequence in which an entry evaluates them.
+fn effective_rules(texts: &RuleTexts, service: &ServiceName) -> Result<RuleList, Vec<RuleError>> {
     let general = RuleList::parse(&texts.general)?;
-    let part = texts.part.as_deref().map(ServiceRuleList::parse).transpose()?;
-    let Some(part) = part else { return Ok(general) };
-    Ok(ServiceIndex::new(&general).rules_for(service, Some(&part)))
+    let service_rules = texts.service_rules.as_deref().map(ServiceRuleList::parse).transpose()?;
+    let Some(service_rules) = service_rules else { return Ok(general) };
+    Ok(ServiceIndex::new(&general).rules_for(service, Some(&service_rules)))
 }
 
-fn shown(explanation: &Explanation) -> String {
+fn render(explanation: &Explanation) -> String {
     let rules: String = explanation.rules.iter().map(|rule| format!("{rule}\n")).collect();
-    format!("{rules}\n{}", shown_outcome(&explanation.outcome))
+    format!("{rules}\n{}", render_outcome(&explanation.outcome))
 }
 
-fn shown_outcome(outcome: &Outcome) -> String {
+fn render_outcome(outcome: &Outcome) -> String {
     let json = OutcomeJson::from(outcome);
     let after = json.retry_after_ms.map_or(String::new(), |ms| format!(", retry after {ms} ms"));
     if let Some(status) = json.refuse {
--- a/crates/shallotctl/src/command/explain_config.rs
+++ b/crates/shallotctl/src/command/explain_config.rs
@@ -7,10 +7,10 @@
 
 use crate::entries_config::EntriesConfig;
 
-/// Where the rules come from.
+/// Source of the rules.
 #[derive(Debug)]
 pub enum RulesSource {
-    /// Files: the general list, and the service's own one if it has any.
+    /// Files with the general rule list and, optionally, the service's own rule list.
     Files(PathBuf, Option<PathBuf>),
     /// The rules in force at an entry.
     Entry(EntriesConfig),
@@ -19,16 +19,16 @@
 /// Options of `shallotctl explain`.
 #[derive(Debug)]
 pub struct ExplainConfig {
-    /// Where the rules come from.
+    /// Source of the rules.
     pub source: RulesSource,
-    /// The service that the request asks for.
+    /// The requested service.
     pub service: ServiceName,
-    /// Who sends it.
+    /// The caller that sends the request.
     pub caller: Option<CallerName>,
-    /// When it is sent; now by default.
+    /// Time of the request; now by default.
     pub at: Timestamp,
-    /// Load of the service; unknown by default.
+    /// Load of the service; `None` if unknown.
     pub load: Option<Permille>,
-    /// Output for scripts.
+    /// Whether to print JSON, for scripts.
     pub json: bool,
 }
--- a/crates/shallotctl/src/command/status.rs
+++ b/crates/shallotctl/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `shallotctl status`: what each entry does now.
+//! `shallotctl status`: shows the current state of each entry.
 
 use anyhow::Result;
 use serde::Serialize;
@@ -6,8 +6,8 @@
 use shallotfork_types::{Endpoint, ListName, Revision};
 
 use super::StatusConfig;
-use crate::entries::{Answer, Entries};
-use crate::exit::Exit;
+use crate::entries::{EntriesClient, EntryResponse};
+use crate::exit::ExitStatus;
 use crate::table::Table;
 
 #[derive(Debug, Serialize)]
@@ -17,32 +17,32 @@
     error: Option<String>,
 }
 
-/// Prints what every entry answers.
+/// Prints the status report of every entry.
 ///
 /// # Errors
-/// When the token cannot be read.
-pub async fn status(config: &StatusConfig) -> Result<Exit> {
-    let answers = Entries::new(config.entries.clone())?.status().await;
-    let complete = answers.iter().all(|answer| answer.report.is_ok());
+/// When the token file cannot be read or the HTTP client cannot be set up.
+pub async fn status(config: &StatusConfig) -> Result<ExitStatus> {
+    let responses = EntriesClient::new(config.entries.clone())?.status().await;
+    let complete = responses.iter().all(|response| response.report.is_ok());
     if config.json {
-        let json: Vec<StatusJson> = answers.into_iter().map(StatusJson::from).collect();
+        let json: Vec<StatusJson> = responses.into_iter().map(StatusJson::from).collect();
         println!("{}", serde_json::to_string_pretty(&json)?);
     } else {
-        print!("{}", shown(&answers));
+        print!("{}", render(&responses));
     }
-    Ok(if complete { Exit::Done } else { Exit::Failed })
+    Ok(if complete { ExitStatus::Success } else { ExitStatus::Failure })
 }
 
-fn shown(answers: &[Answer<StatusReport>]) -> String {
+fn render(responses: &[EntryResponse<StatusReport>]) -> String {
     let mut entries = Table::new(&[
         "ENTRY", "VM", "STATE", "RULES", "PLATFORM", "SESSIONS", "LEDGER", "RETRIES", "HEDGES",
         "PROBES", "SEES",
     ]);
     let mut targets = Table::new(&["VM", "SERVICE", "TARGET", "STATE", "IN FLIGHT"]);
-    for answer in answers {
-        match &answer.report {
+    for response in responses {
+        match &response.report {
             Ok(report) => {
-                entries = entries.with_row(entry_row(answer.entry, report));
+                entries = entries.with_row(entry_row(response.entry, report));
                 targets = report
                     .targets
                     .iter()
@@ -50,7 +50,7 @@
             }
             Err(error) => {
                 let state = format!("no answer: {error:#}");
-                entries = entries.with_row(vec![answer.entry.to_string(), "?".into(), state]);
+                entries = entries.with_row(vec![response.entry.to_string(), "?".into(), state]);
             }
         }
     }
@@ -78,18 +78,18 @@
     format!("{:?}", report.state).to_lowercase()
 }
 
-/// The revision in force, and the refused one behind an exclamation mark.
+/// Formats the revision of the rules in force, followed by `!` and the refused revision, if any.
 fn rules_revision(lists: &[ListStatus]) -> String {
     let Some(rules) = lists.iter().find(|list| list.name == ListName::Rules) else {
         return "none".to_owned();
     };
     match rules.refused_revision {
-        Some(refused) => format!("{} !{refused}", shown_revision(rules.revision)),
-        None => shown_revision(rules.revision),
+        Some(refused) => format!("{} !{refused}", format_revision(rules.revision)),
+        None => format_revision(rules.revision),
     }
 }
 
-fn shown_revision(revision: Revision) -> String {
+fn format_revision(revision: Revision) -> String {
     if revision == Revision::NONE { "none".to_owned() } else { revision.to_string() }
 }
 
@@ -103,9 +103,9 @@
     ]
 }
 
-impl From<Answer<StatusReport>> for StatusJson {
-    fn from(answer: Answer<StatusReport>) -> Self {
-        let error = answer.report.as_ref().err().map(|error| format!("{error:#}"));
-        Self { entry: answer.entry, status: answer.report.ok(), error }
+impl From<EntryResponse<StatusReport>> for StatusJson {
+    fn from(response: EntryResponse<StatusReport>) -> Self {
+        let error = response.report.as_ref().err().map(|error| format!("{error:#}"));
+        Self { entry: response.entry, status: response.report.ok(), error }
     }
 }
--- a/crates/shallotctl/src/command/watch.rs
+++ b/crates/shallotctl/src/command/watch.rs
@@ -9,18 +9,18 @@
 use shallotfork_types::{Endpoint, Revision};
 
 use super::WatchConfig;
-use crate::entries::{Answer, Entries};
-use crate::exit::Exit;
+use crate::entries::{EntriesClient, EntryResponse};
+use crate::exit::ExitStatus;
 
-/// How far one entry is.
+/// State of one entry relative to the expected revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "state")]
 enum Progress {
     /// The revision, or a higher one, is in force.
     InForce { revision: Revision, digest: String },
-    /// A lower one is in force.
+    /// A lower revision, or none, is in force.
     Waiting { revision: Revision },
-    /// The entry refused it.
+    /// The entry refused the revision, or a higher one.
     Refused { revision: Revision },
     /// The entry did not answer.
     Unanswered { error: String },
@@ -33,7 +33,7 @@
     progress: Progress,
 }
 
-/// What the entries together amount to.
+/// Combined state of all entries in one round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 enum RoundState {
@@ -50,45 +50,46 @@
     entries: Vec<EntryProgress>,
 }
 
-/// Asks every entry in rounds until the revision is in force everywhere, refused, or time is up.
+/// Polls all entries in rounds until the revision is in force everywhere, it is refused, or the
+/// timeout has passed.
 ///
 /// # Errors
-/// When the token cannot be read.
-pub async fn watch(config: &WatchConfig) -> Result<Exit> {
-    let entries = Entries::new(config.entries.clone())?;
-    let begun = Instant::now();
-    let mut last = None;
+/// When the token file cannot be read or the HTTP client cannot be set up.
+pub async fn watch(config: &WatchConfig) -> Result<ExitStatus> {
+    let entries = EntriesClient::new(config.entries.clone())?;
+    let started_at = Instant::now();
+    let mut previous = None;
     loop {
         let round = Round::new(config, entries.status().await);
-        let over = begun.elapsed() >= config.wait;
-        if last.as_ref() != Some(&round) {
+        let is_timed_out = started_at.elapsed() >= config.timeout;
+        if previous.as_ref() != Some(&round) {
             print_round(config, &round)?;
         }
         match round.state {
-            RoundState::InForce => return Ok(Exit::Done),
-            RoundState::Refused => return Ok(Exit::No),
-            RoundState::Unanswered if over => return Ok(Exit::Failed),
-            _ if over => return Ok(Exit::No),
+            RoundState::InForce => return Ok(ExitStatus::Success),
+            RoundState::Refused => return Ok(ExitStatus::Negative),
+            RoundState::Unanswered if is_timed_out => return Ok(ExitStatus::Failure),
+            _ if is_timed_out => return Ok(ExitStatus::Negative),
             _ => {}
         }
-        last = Some(round);
-        tokio::time::sleep(config.interval).await;
+        previous = Some(round);
+        tokio::time::sleep(config.poll_interval).await;
     }
 }
 
 impl Round {
-    fn new(config: &WatchConfig, answers: Vec<Answer<StatusReport>>) -> Self {
-        let progress = |answer: Answer<StatusReport>| EntryProgress {
-            entry: answer.entry,
-            progress: Progress::of(config, &answer.report),
+    fn new(config: &WatchConfig, responses: Vec<EntryResponse<StatusReport>>) -> Self {
+        let progress = |response: EntryResponse<StatusReport>| EntryProgress {
+            entry: response.entry,
+            progress: Progress::from_report(config, &response.report),
         };
-        let entries: Vec<EntryProgress> = answers.into_iter().map(progress).collect();
-        Self { state: state_of(&entries), entries }
+        let entries: Vec<EntryProgress> = responses.into_iter().map(progress).collect();
+        Self { state: combined_state(&entries), entries }
     }
 }
 
 impl Progress {
-    fn of(config: &WatchConfig, report: &Result<StatusReport>) -> Self {
+    fn from_report(config: &WatchConfig, report: &Result<StatusReport>) -> Self {
         let lists = match report {
             Ok(report) => &report.lists,
             Err(error) => return Self::Unanswered { error: format!("{error:#}") },
@@ -106,14 +107,16 @@
         }
     }
 
-    /// Whether the revision asked for is in force, rather than a higher one or none.
-    fn is_exactly(&self, asked: Revision) -> bool {
-        matches!(self, Self::InForce { revision, .. } if *revision == asked)
+    /// Returns whether exactly the expected revision is in force, not a higher one or none.
+    fn is_exactly(&self, expected: Revision) -> bool {
+        matches!(self, Self::InForce { revision, .. } if *revision == expected)
     }
 }
 
-/// Entries that have different contents under one revision have not settled yet.
-fn in_conflict(entries: &[EntryProgress]) -> bool {
+/// Returns whether entries have different contents in force under the same revision.
+///
+/// The entries have not settled such a conflict yet.
+fn has_conflict(entries: &[EntryProgress]) -> bool {
     let mut versions = BTreeSet::new();
     for entry in entries {
         if let Progress::InForce { revision, digest } = &entry.progress {
@@ -124,8 +127,9 @@
     revisions.len() < versions.len()
 }
 
-fn state_of(entries: &[EntryProgress]) -> RoundState {
-    let any = |wanted: fn(&Progress) -> bool| entries.iter().any(|entry| wanted(&entry.progress));
+fn combined_state(entries: &[EntryProgress]) -> RoundState {
+    let any =
+        |predicate: fn(&Progress) -> bool| entries.iter().any(|entry| predicate(&entry.progress));
     if any(|progress| matches!(progress, Progress::Refused { .. })) {
         return RoundState::Refused;
     }
@@ -135,7 +139,7 @@
     if any(|progress| matches!(progress, Progress::Waiting { .. })) {
         return RoundState::Waiting;
     }
-    if in_conflict(entries) { RoundState::Conflict } else { RoundState::InForce }
+    if has_conflict(entries) { RoundState::Conflict } else { RoundState::InForce }
 }
 
 fn print_round(config: &WatchConfig, round: &Round) -> Result<()> {
@@ -149,7 +153,7 @@
     println!("{} revision {}: in force on {done} of {all} entries", config.list, config.revision);
     let exact = Progress::is_exactly;
     for entry in round.entries.iter().filter(|entry| !exact(&entry.progress, config.revision)) {
-        println!("  {}: {}", entry.entry, shown(&entry.progress));
+        println!("  {}: {}", entry.entry, render(&entry.progress));
     }
     if round.state == RoundState::Conflict {
         println!("  two contents under one revision; publish a higher revision");
@@ -157,7 +161,7 @@
     Ok(())
 }
 
-fn shown(progress: &Progress) -> String {
+fn render(progress: &Progress) -> String {
     match progress {
         Progress::InForce { revision, .. } => format!("revision {revision} in force"),
         Progress::Waiting { revision: Revision::NONE } => "none in force".to_owned(),
--- a/crates/shallotctl/src/command/watch_config.rs
+++ b/crates/shallotctl/src/command/watch_config.rs
@@ -11,27 +11,27 @@
 pub struct WatchConfig {
     /// The revision to wait for.
     pub revision: Revision,
-    /// The list; the rules by default.
+    /// The list whose revision is awaited; the rules by default.
     pub list: ListName,
-    /// The entries to ask.
+    /// The entries to poll.
     pub entries: EntriesConfig,
-    /// How long to wait; 30 s by default.
-    pub wait: Duration,
-    /// Time between two rounds of questions; 250 ms by default.
-    pub interval: Duration,
-    /// Output for scripts.
+    /// How long to wait for the revision; 30 s by default.
+    pub timeout: Duration,
+    /// Pause between two rounds of polling; 250 ms by default.
+    pub poll_interval: Duration,
+    /// Whether to print JSON, for scripts.
     pub json: bool,
 }
 
 impl WatchConfig {
-    /// Waits for this revision of the rules at these entries.
+    /// Creates options to wait for a revision of the rules at the given entries.
     pub fn new(revision: Revision, entries: EntriesConfig) -> Self {
         Self {
             revision,
             list: ListName::Rules,
             entries,
-            wait: Duration::from_secs(30),
-            interval: Duration::from_millis(250),
+            timeout: Duration::from_secs(30),
+            poll_interval: Duration::from_millis(250),
             json: false,
         }
     }
--- a/crates/shallotctl/src/entries.rs
+++ b/crates/shallotctl/src/entries.rs
@@ -1,4 +1,4 @@
-//! Reads the operators' port of entries.
+//! HTTP client for the operator port of entries.
 
 use std::fs;
 
@@ -11,24 +11,24 @@
 
 use crate::entries_config::EntriesConfig;
 
-/// Asks entries; it only ever reads.
+/// Read-only client for the operator port of entries.
 #[derive(Debug)]
-pub struct Entries {
+pub struct EntriesClient {
     client: Client,
     token: Option<String>,
     config: EntriesConfig,
 }
 
-/// What one entry answered.
+/// Result of a request to one entry.
 #[derive(Debug)]
-pub struct Answer<T> {
-    /// The entry.
+pub struct EntryResponse<T> {
+    /// Operator port of the entry.
     pub entry: Endpoint,
-    /// Its report, or why there is none.
+    /// The report, or the error if the entry returned none.
     pub report: Result<T>,
 }
 
-impl Entries {
+impl EntriesClient {
     /// Reads the token and sets up the client.
     ///
     /// # Errors
@@ -48,17 +48,17 @@
         Ok(Self { client, token, config })
     }
 
-    /// The status of every entry, in the order given.
-    pub async fn status(&self) -> Vec<Answer<StatusReport>> {
-        self.all("/v1/status").await
+    /// Returns the status of every entry, in the order given.
+    pub async fn status(&self) -> Vec<EntryResponse<StatusReport>> {
+        self.get_all("/v1/status").await
     }
 
-    /// The audit trail of every entry, in the order given.
-    pub async fn audit(&self) -> Vec<Answer<AuditReport>> {
-        self.all("/v1/audit").await
+    /// Returns the audit trail of every entry, in the order given.
+    pub async fn audit(&self) -> Vec<EntryResponse<AuditReport>> {
+        self.get_all("/v1/audit").await
     }
 
-    /// The text of a list in force at the first entry; `None` when it has none of that name.
+    /// Returns the text of a list in force at the first entry, or `None` if it has no such list.
     ///
     /// # Errors
     /// When no entry is given, or it does not answer.
@@ -68,24 +68,24 @@
         if response.status() == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        whole_text(response).await.map(Some)
+        read_text(response).await.map(Some)
     }
 
-    async fn all<T: DeserializeOwned>(&self, path: &str) -> Vec<Answer<T>> {
-        let asked = self.config.entries.iter().map(async |entry| {
-            let report = self.json(*entry, path).await;
-            Answer { entry: *entry, report }
+    async fn get_all<T: DeserializeOwned>(&self, path: &str) -> Vec<EntryResponse<T>> {
+        let requests = self.config.entries.iter().map(async |entry| {
+            let report = self.get_json(*entry, path).await;
+            EntryResponse { entry: *entry, report }
         });
-        join_all(asked).await
+        join_all(requests).await
     }
 
-    async fn json<T: DeserializeOwned>(&self, entry: Endpoint, path: &str) -> Result<T> {
-        let text = self.text(entry, path).await?;
+    async fn get_json<T: DeserializeOwned>(&self, entry: Endpoint, path: &str) -> Result<T> {
+        let text = self.get_text(entry, path).await?;
         serde_json::from_str(&text).context("malformed answer")
     }
 
-    async fn text(&self, entry: Endpoint, path: &str) -> Result<String> {
-        whole_text(self.get(entry, path).await?).await
+    async fn get_text(&self, entry: Endpoint, path: &str) -> Result<String> {
+        read_text(self.get(entry, path).await?).await
     }
 
     async fn get(&self, entry: Endpoint, path: &str) -> Result<Response> {
@@ -97,7 +97,7 @@
     }
 }
 
-async fn whole_text(response: Response) -> Result<String> {
+async fn read_text(response: Response) -> Result<String> {
     let status = response.status();
     ensure!(status.is_success(), "status {status}");
     response.text().await.context("answer was cut off")
--- a/crates/shallotctl/src/entries_config.rs
+++ b/crates/shallotctl/src/entries_config.rs
@@ -1,18 +1,18 @@
-//! Which entries are asked and how.
+//! Options for requests to entries.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use shallotfork_types::Endpoint;
 
-/// The entries to ask on their operators' port.
+/// Entries to query on their operator ports, and how to query them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntriesConfig {
-    /// Operators' ports.
+    /// Addresses of the operator ports.
     pub entries: Vec<Endpoint>,
-    /// File with the token that they ask for.
+    /// File with the token that the operator ports require.
     pub token_file: Option<PathBuf>,
-    /// Time within which each must answer.
+    /// Timeout of a request to one entry.
     pub timeout: Duration,
 }
 
--- a/crates/shallotctl/src/exit.rs
+++ b/crates/shallotctl/src/exit.rs
@@ -1,27 +1,27 @@
-//! Exit codes, for scripts.
+//! Exit codes of `shallotctl`, for use in scripts.
 
 use std::process::ExitCode;
 
-/// How a command ended.
+/// Result of a command, reported as the exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Exit {
-    /// The command did what was asked and the answer is yes.
-    Done,
+pub enum ExitStatus {
+    /// The command succeeded and the answer is yes.
+    Success,
     /// The answer is no: the list is not valid, or it is not in force everywhere.
-    No,
+    Negative,
     /// The command line is wrong.
-    Usage,
+    UsageError,
     /// A file cannot be read, or an entry did not answer.
-    Failed,
+    Failure,
 }
 
-impl From<Exit> for ExitCode {
-    fn from(exit: Exit) -> Self {
-        Self::from(match exit {
-            Exit::Done => 0,
-            Exit::No => 1,
-            Exit::Usage => 2,
-            Exit::Failed => 3,
+impl From<ExitStatus> for ExitCode {
+    fn from(status: ExitStatus) -> Self {
+        Self::from(match status {
+            ExitStatus::Success => 0,
+            ExitStatus::Negative => 1,
+            ExitStatus::UsageError => 2,
+            ExitStatus::Failure => 3,
         })
     }
 }
--- a/crates/shallotctl/src/help.rs
+++ b/crates/shallotctl/src/help.rs
@@ -1,6 +1,6 @@
-//! Texts of `--help`.
+//! Help texts printed for `--help`.
 
-/// Text for `shallotctl --help`.
+/// Output of `shallotctl --help`.
 pub const MAIN: &str = "\
 shallotctl: checks rule lists and shows what the entries do; it changes nothing
 
@@ -22,7 +22,7 @@
   3  a file cannot be read, or an entry did not answer
 ";
 
-/// Text for `shallotctl check --help`.
+/// Output of `shallotctl check --help`.
 pub const CHECK: &str = "\
 Usage: shallotctl check [--service NAME] [--json] FILE
 
@@ -37,7 +37,7 @@
 Exit codes: 0 valid, 1 not valid, 2 wrong command line, 3 FILE cannot be read.
 ";
 
-/// Text for `shallotctl explain --help`.
+/// Output of `shallotctl explain --help`.
 pub const EXPLAIN: &str = "\
 Usage: shallotctl explain (--rules FILE | --entry ADDR) --service NAME [options]
 
@@ -60,7 +60,7 @@
 3 the file cannot be read or the entry did not answer.
 ";
 
-/// Text for `shallotctl status --help`.
+/// Output of `shallotctl status --help`.
 pub const STATUS: &str = "\
 Usage: shallotctl status --entry ADDR[,ADDR...] [--token-file FILE] [--timeout-ms N] [--json]
 
@@ -73,7 +73,7 @@
 Exit codes: 0 every entry answered, 2 wrong command line, 3 an entry did not answer.
 ";
 
-/// Text for `shallotctl watch --help`.
+/// Output of `shallotctl watch --help`.
 pub const WATCH: &str = "\
 Usage: shallotctl watch REVISION --entry ADDR[,ADDR...] [options]
 
@@ -93,7 +93,7 @@
 2 wrong command line, 3 an entry never answered.
 ";
 
-/// Text for `shallotctl audit --help`.
+/// Output of `shallotctl audit --help`.
 pub const AUDIT: &str = "\
 Usage: shallotctl audit --entry ADDR[,ADDR...] [--token-file FILE] [--timeout-ms N] [--json]
 
--- a/crates/shallotctl/src/main.rs
+++ b/crates/shallotctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `shallotctl`: checks rule lists and shows what the entries do. It changes nothing.
+//! `shallotctl`: read-only operator tool that checks rule lists and shows the state of entries.
 
 mod args;
 mod command;
@@ -10,41 +10,41 @@
 
 use std::process::ExitCode;
 
-use args::{Request, args};
-use exit::Exit;
+use args::{Invocation, parse_args};
+use exit::ExitStatus;
 
 fn main() -> ExitCode {
-    let request = match args(lexopt::Parser::from_env()) {
-        Ok(request) => request,
+    let invocation = match parse_args(lexopt::Parser::from_env()) {
+        Ok(invocation) => invocation,
         Err(error) => {
             eprintln!("shallotctl: {error:#}\nSee shallotctl --help.");
-            return Exit::Usage.into();
+            return ExitStatus::UsageError.into();
         }
     };
-    match run(request) {
+    match run(invocation) {
         Ok(exit) => exit.into(),
         Err(error) => {
             eprintln!("shallotctl: {error:#}");
-            Exit::Failed.into()
+            ExitStatus::Failure.into()
         }
     }
 }
 
 #[tokio::main(flavor = "current_thread")]
-async fn run(request: Request) -> anyhow::Result<Exit> {
-    match request {
-        Request::Help(text) => {
+async fn run(invocation: Invocation) -> anyhow::Result<ExitStatus> {
+    match invocation {
+        Invocation::Help(text) => {
             print!("{text}");
-            Ok(Exit::Done)
+            Ok(ExitStatus::Success)
         }
-        Request::Version => {
+        Invocation::Version => {
             println!("shallotctl {}", env!("CARGO_PKG_VERSION"));
-            Ok(Exit::Done)
+            Ok(ExitStatus::Success)
         }
-        Request::Check(config) => command::check(&config),
-        Request::Explain(config) => command::explain(&config).await,
-        Request::Status(config) => command::status(&config).await,
-        Request::Watch(config) => command::watch(&config).await,
-        Request::Audit(config) => command::audit(&config).await,
+        Invocation::Check(config) => command::check(&config),
+        Invocation::Explain(config) => command::explain(&config).await,
+        Invocation::Status(config) => command::status(&config).await,
+        Invocation::Watch(config) => command::watch(&config).await,
+        Invocation::Audit(config) => command::audit(&config).await,
     }
 }
--- a/crates/shallotctl/src/table.rs
+++ b/crates/shallotctl/src/table.rs
@@ -1,7 +1,7 @@
-//! Columns for people.
+//! Text tables for human readers.
 
-/// Gap between two columns.
-const GAP: &str = "  ";
+/// Separator between two columns.
+const COLUMN_SEPARATOR: &str = "  ";
 
 /// Rows of text with aligned columns.
 #[derive(Debug)]
@@ -10,19 +10,19 @@
 }
 
 impl Table {
-    /// A table with these column titles.
+    /// Creates a table with the given column titles.
     pub fn new(titles: &[&str]) -> Self {
         Self { rows: vec![titles.iter().map(ToString::to_string).collect()] }
     }
 
-    /// The same with one more row.
+    /// Adds a row.
     #[must_use]
     pub fn with_row(mut self, row: Vec<String>) -> Self {
         self.rows.push(row);
         self
     }
 
-    /// The lines of the table.
+    /// Renders the table, one line per row.
     pub fn render(&self) -> String {
         let widths = self.widths();
         self.rows.iter().map(|row| render_row(row, &widths) + "\n").collect()
@@ -40,5 +40,5 @@
 
 fn render_row(row: &[String], widths: &[usize]) -> String {
     let cells = row.iter().zip(widths).map(|(cell, width)| format!("{cell:width$}"));
-    cells.collect::<Vec<_>>().join(GAP).trim_end().to_owned()
+    cells.collect::<Vec<_>>().join(COLUMN_SEPARATOR).trim_end().to_owned()
 }
--- a/crates/shallotctl/tests/shallotctl/main.rs
+++ b/crates/shallotctl/tests/shallotctl/main.rs
@@ -1,4 +1,4 @@
-//! Runs `shallotctl` as an operator would.
+//! End-to-end tests of the `shallotctl` command line.
 
 mod offline;
 mod online;
--- a/crates/shallotctl/tests/shallotctl/offline.rs
+++ b/crates/shallotctl/tests/shallotctl/offline.rs
@@ -1,6 +1,6 @@
-//! Commands that need no entry.
+//! Tests of commands that need no entry.
 
-use crate::support::{file, shallotctl};
+use crate::support::{shallotctl, write_file};
 
 const RULES: &str = "\
 [orders-in-the-morning]
@@ -18,15 +18,16 @@
 ";
 
 #[test]
-fn check_accepts_a_valid_list() {
-    let path = file("valid.ini", RULES);
+fn check_accepts_valid_list() {
+    let path = write_file("valid.ini", RULES);
     let run = shallotctl(&["check", &path]);
     assert_eq!((format!("{path}: valid, 3 rules\n"), 0), (run.stdout, run.code));
 }
 
 #[test]
 fn check_lists_every_error() {
-    let path = file("bad.ini", "[a]\nwhen.service = x\nwhen.colour = red\nthen.retries = many\n");
+    let path =
+        write_file("bad.ini", "[a]\nwhen.service = x\nwhen.colour = red\nthen.retries = many\n");
     let run = shallotctl(&["check", &path]);
     insta::assert_snapshot!(run.stdout.replace(&path, "FILE"));
     assert_eq!(1, run.code);
@@ -37,7 +38,7 @@
 
 #[test]
 fn explain_shows_each_rule_in_turn() {
-    let path = file("explain.ini", RULES);
+    let path = write_file("explain.ini", RULES);
     let args = ["explain", "--rules", &path, "--service", "orders", "--at"];
     let evening = shallotctl(&[&args[..], &["2026-03-02T20:00:00+08:00"]].concat());
     let busy = ["2026-03-02T20:00:00+08:00", "--load", "990", "--json"];
@@ -46,12 +47,13 @@
     assert_eq!((0, 0), (evening.code, busy.code));
 }
 
-/// A service has a list of its own. Explained by the general list alone, the operator would be told
-/// a rule that never decides.
+/// With the general list alone, `explain` would name a rule that never decides for a service with
+/// rules of its own.
 #[test]
-fn explain_puts_the_services_own_rules_first() {
-    let general = file("general.ini", RULES);
-    let own = file("own.ini", "[closed-for-stocktake]\nwhen.caller = batch\nthen.refuse = 503\n");
+fn explain_applies_service_rules_first() {
+    let general = write_file("general.ini", RULES);
+    let own =
+        write_file("own.ini", "[closed-for-stocktake]\nwhen.caller = batch\nthen.refuse = 503\n");
     assert_eq!(0, shallotctl(&["check", "--service", "orders", &own]).code);
     assert_eq!(1, shallotctl(&["check", &own]).code);
     let request = ["explain", "--service", "orders", "--caller", "batch", "--rules", &general];
@@ -60,7 +62,7 @@
 }
 
 #[test]
-fn wrong_command_lines_have_their_own_exit_code() {
+fn usage_errors_exit_with_2() {
     let wrong: [&[&str]; 9] = [
         &[],
         &["publish"],
@@ -72,18 +74,18 @@
         &["status", "--entry", "localhost:1"],
         &["explain", "--service", "x"],
     ];
-    let shown: String = wrong
+    let errors: String = wrong
         .map(|args| {
             let run = shallotctl(args);
             assert_eq!(2, run.code, "{args:?}");
             run.stderr
         })
         .concat();
-    insta::assert_snapshot!(shown);
+    insta::assert_snapshot!(errors);
 }
 
 #[test]
-fn missing_files_have_their_own_exit_code() {
+fn missing_files_exit_with_3() {
     assert_eq!(3, shallotctl(&["check", "/nowhere/rules.ini"]).code);
 }
 
--- a/crates/shallotctl/tests/shallotctl/online.rs
+++ b/crates/shallotctl/tests/shallotctl/online.rs
@@ -1,6 +1,6 @@
-//! Commands that ask entries.
+//! Tests of commands that query entries.
 
-use crate::support::{FakeEntry, Run, file, shallotctl};
+use crate::support::{FakeEntry, Run, shallotctl, write_file};
 
 const TEMPLATE: &str = r#"{"vm":"VM","incarnation":"00000000000000ff","state":"serving",
     "synced_revision":9,"lists":[{"name":"rules","revision":REV,"digest":"DIGEST","in_force_ms":5,
@@ -9,15 +9,15 @@
     "budgets":{"attempts":9,"retries":1,"hedges":0,"probes":4,"platform_calls":7},
     "entries":[{"vm":"e1","failure_domain":"boulder","callers":"127.0.0.1:1","state":"live"}]}"#;
 
-/// A status report for tests, built in a chain.
-struct Status {
+/// Builder of the status report of a fake entry.
+struct StatusBuilder {
     vm: String,
     revision: u64,
     digest: String,
     refused: Option<u64>,
 }
 
-impl Status {
+impl StatusBuilder {
     fn new(vm: &str, revision: u64) -> Self {
         Self { vm: vm.into(), revision, digest: "aa".into(), refused: None }
     }
@@ -40,12 +40,12 @@
     }
 }
 
-/// Runs a command against these entries and shows their addresses as `E1`, `E2`.
-fn ask(command: &[&str], entries: &[FakeEntry]) -> Run {
+/// Runs a command against these entries and replaces their addresses in its output by `E1`, `E2`.
+fn run_against(command: &[&str], entries: &[FakeEntry]) -> Run {
     let addresses: Vec<String> = entries.iter().map(FakeEntry::address).collect();
-    let token = file(&format!("token-{}", addresses.join("-").replace(':', "_")), "sesame\n");
-    let asked = addresses.join(",");
-    let options = ["--entry", &asked, "--token-file", &token];
+    let token = write_file(&format!("token-{}", addresses.join("-").replace(':', "_")), "sesame\n");
+    let entry_list = addresses.join(",");
+    let options = ["--entry", &entry_list, "--token-file", &token];
     let mut run = shallotctl(&[command, &options].concat());
     for (index, address) in addresses.iter().enumerate() {
         run.stdout = run.stdout.replace(address, &format!("E{}", index + 1));
@@ -53,12 +53,12 @@
     run
 }
 
-fn entry(statuses: &[Status]) -> FakeEntry {
-    let answers: Vec<String> = statuses.iter().map(Status::json).collect();
+fn fake_entry(statuses: &[StatusBuilder]) -> FakeEntry {
+    let answers: Vec<String> = statuses.iter().map(StatusBuilder::json).collect();
     FakeEntry::with_answers(&answers.iter().map(String::as_str).collect::<Vec<_>>())
 }
 
-/// Column widths follow the length of a port number, which the kernel chooses.
+/// Removes the column padding, whose width depends on the port numbers that the kernel assigns.
 fn without_padding(table: &str) -> String {
     let words = |line: &str| line.split_whitespace().collect::<Vec<_>>().join(" ");
     table.lines().map(|line| words(line) + "\n").collect()
@@ -66,61 +66,72 @@
 
 #[test]
 fn status_shows_every_entry() {
-    let entries = [entry(&[Status::new("e1", 7)]), entry(&[Status::new("e2", 6).with_refused(8)])];
-    let run = ask(&["status"], &entries);
+    let entries = [
+        fake_entry(&[StatusBuilder::new("e1", 7)]),
+        fake_entry(&[StatusBuilder::new("e2", 6).with_refused(8)]),
+    ];
+    let run = run_against(&["status"], &entries);
     insta::assert_snapshot!(without_padding(&run.stdout));
     assert_eq!(0, run.code);
 }
 
 #[test]
-fn status_without_the_token_is_refused() {
-    let entry = entry(&[Status::new("e1", 7)]);
+fn status_without_token_fails() {
+    let entry = fake_entry(&[StatusBuilder::new("e1", 7)]);
     let run = shallotctl(&["status", "--entry", &entry.address()]);
     assert!(run.stdout.contains("401"), "{}", run.stdout);
     assert_eq!(3, run.code);
 }
 
-/// An operator publishes revision 7; one entry has it at once, the other one a little later. The
-/// command must end well only after the second one has it too.
+/// One entry has revision 7 in force at once, the other one later. `watch` must not report success
+/// before the second one has it too.
 #[test]
-fn watch_ends_when_the_revision_is_in_force_everywhere() {
-    let late = [Status::new("e2", 6), Status::new("e2", 6), Status::new("e2", 8)];
-    let run = ask(&["watch", "7"], &[entry(&[Status::new("e1", 7)]), entry(&late)]);
+fn watch_succeeds_once_in_force_everywhere() {
+    let delayed =
+        [StatusBuilder::new("e2", 6), StatusBuilder::new("e2", 6), StatusBuilder::new("e2", 8)];
+    let run = run_against(
+        &["watch", "7"],
+        &[fake_entry(&[StatusBuilder::new("e1", 7)]), fake_entry(&delayed)],
+    );
     insta::assert_snapshot!(run.stdout);
     assert_eq!(0, run.code);
 }
 
-/// The platform was restored and an operator publishes revision 7 again, below revision 9 which is
-/// in force. The list has no effect, and the operator must see which one has.
+/// After a restore of the platform, revision 7 is published again while revision 9 is in force. The
+/// new list has no effect, so `watch` must show the revision that is in force.
 #[test]
-fn watch_shows_a_higher_revision_in_force() {
-    let run = ask(&["watch", "7"], &[entry(&[Status::new("e1", 9)])]);
+fn watch_shows_higher_revision_in_force() {
+    let run = run_against(&["watch", "7"], &[fake_entry(&[StatusBuilder::new("e1", 9)])]);
     let expected = "rules revision 7: in force on 1 of 1 entries\n  E1: revision 9 in force\n";
     assert_eq!((expected, 0), (run.stdout.as_str(), run.code));
 }
 
 #[test]
-fn watch_ends_when_the_revision_was_refused() {
-    let run = ask(&["watch", "7"], &[entry(&[Status::new("e1", 6).with_refused(7)])]);
+fn watch_fails_when_revision_is_refused() {
+    let run =
+        run_against(&["watch", "7"], &[fake_entry(&[StatusBuilder::new("e1", 6).with_refused(7)])]);
     insta::assert_snapshot!(run.stdout);
     assert_eq!(1, run.code);
 }
 
 #[test]
-fn watch_tells_late_from_unanswered_and_conflict() {
-    let late = ask(&["watch", "7", "--for-ms", "1"], &[entry(&[Status::new("e1", 6)])]);
-    assert_eq!(1, late.code);
-    let silent = FakeEntry::with_answers(&["{"]);
-    assert_eq!(3, ask(&["watch", "7", "--for-ms", "1"], &[silent]).code);
-    let other = entry(&[Status::new("e2", 7).with_digest("bb")]);
-    let entries = [entry(&[Status::new("e1", 7)]), other];
-    let conflict = ask(&["watch", "7", "--for-ms", "1"], &entries);
+fn watch_distinguishes_timeout_unanswered_and_conflict() {
+    let timed_out = run_against(
+        &["watch", "7", "--for-ms", "1"],
+        &[fake_entry(&[StatusBuilder::new("e1", 6)])],
+    );
+    assert_eq!(1, timed_out.code);
+    let malformed = FakeEntry::with_answers(&["{"]);
+    assert_eq!(3, run_against(&["watch", "7", "--for-ms", "1"], &[malformed]).code);
+    let other = fake_entry(&[StatusBuilder::new("e2", 7).with_digest("bb")]);
+    let entries = [fake_entry(&[StatusBuilder::new("e1", 7)]), other];
+    let conflict = run_against(&["watch", "7", "--for-ms", "1"], &entries);
     insta::assert_snapshot!(conflict.stdout);
     assert_eq!(1, conflict.code);
 }
 
 #[test]
-fn audit_merges_the_trails() {
+fn audit_merges_trails_by_time() {
     let trail = |vm: &str, at: &str, outcome: &str| {
         let change = format!(
             r#"{{"at":"{at}","list":"rules","from_revision":null,"to_revision":7,
@@ -132,7 +143,7 @@
         trail("e1", "2026-03-02T00:00:02Z", "accepted"),
         trail("e2", "2026-03-02T00:00:01Z", "conflict-refused"),
     ];
-    let run = ask(&["audit"], &entries);
+    let run = run_against(&["audit"], &entries);
     insta::assert_snapshot!(run.stdout);
     assert_eq!(0, run.code);
 }
--- a/crates/shallotctl/tests/shallotctl/support.rs
+++ b/crates/shallotctl/tests/shallotctl/support.rs
@@ -1,18 +1,18 @@
-//! Runs `shallotctl` and stands in for entries.
+//! Helpers that run `shallotctl` and fake the operator port of an entry.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::Command;
 use std::thread;
 
-/// What a run of `shallotctl` printed and its exit code.
+/// Output and exit code of a `shallotctl` run.
 pub struct Run {
     pub stdout: String,
     pub stderr: String,
     pub code: i32,
 }
 
-/// Runs `shallotctl` to its end.
+/// Runs `shallotctl` and waits for its exit.
 pub fn shallotctl(args: &[&str]) -> Run {
     let output = Command::new(env!("CARGO_BIN_EXE_shallotctl")).args(args).output().expect("run");
     let text = |bytes| String::from_utf8(bytes).expect("UTF-8");
@@ -23,7 +23,7 @@
     }
 }
 
-/// The operators' port of an entry that gives one answer after another, then repeats the last.
+/// Fake operator port of an entry that returns the given answers in turn, then repeats the last.
 pub struct FakeEntry {
     address: SocketAddr,
 }
@@ -36,7 +36,7 @@
         thread::spawn(move || {
             for (index, connection) in listener.incoming().enumerate() {
                 let answer = &answers[index.min(answers.len() - 1)];
-                answer_one(connection.expect("connection"), answer);
+                answer_request(connection.expect("connection"), answer);
             }
         });
         Self { address }
@@ -47,8 +47,8 @@
     }
 }
 
-/// Answers 401 unless the request shows the token `sesame`.
-fn answer_one(mut connection: TcpStream, body: &str) {
+/// Answers one request; with status 401 unless it carries the token `sesame`.
+fn answer_request(mut connection: TcpStream, body: &str) {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
@@ -57,8 +57,8 @@
         }
         head.extend(byte);
     }
-    let shown = String::from_utf8_lossy(&head).to_lowercase();
-    let allowed = shown.contains("authorization: bearer sesame");
+    let request = String::from_utf8_lossy(&head).to_lowercase();
+    let allowed = request.contains("authorization: bearer sesame");
     let (status, body) = if allowed { ("200 OK", body) } else { ("401 Unauthorized", "") };
     let length = body.len();
     let _ = write!(
@@ -67,8 +67,8 @@
     );
 }
 
-/// A file in the directory for this test's temporary files.
-pub fn file(name: &str, content: &str) -> String {
+/// Writes a file to the directory for temporary test files and returns its path.
+pub fn write_file(name: &str, content: &str) -> String {
     let path = format!("{}/{name}", env!("CARGO_TARGET_TMPDIR"));
     std::fs::write(&path, content).expect("write");
     path
