--- a/crates/bench/examples/order_cost.rs
+++ b/crates/bench/examples/order_cost.rs
@@ -10,7 +10,7 @@
 use http::Method;
 use shallotfork_standin::caller::Call;
 use shallotfork_standin::target::SERVICE_US_HEADER;
-use shallotfork_tests::Desk;
+use shallotfork_tests::OrderFixture;
 
 const ROUNDS: usize = 3000;
 const WARM_UP_ROUNDS: usize = 200;
@@ -31,8 +31,8 @@
 
 #[tokio::main]
 async fn main() -> anyhow::Result<()> {
-    let case = Desk::case().with_setting("once", "session_lifetime_ms", "3600000");
-    let desk = Desk::start(case).await?;
+    let case = OrderFixture::default_case().with_setting("once", "session_lifetime_ms", "3600000");
+    let desk = OrderFixture::start(case).await?;
     let mut times = [(); WAYS.len()].map(|()| Vec::with_capacity(ROUNDS));
     for round in 0..WARM_UP_ROUNDS + ROUNDS {
         for (way, times) in WAYS.into_iter().zip(&mut times) {
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-async fn send(desk: &Desk, way: Way, round: usize) -> anyhow::Result<Duration> {
+async fn send(desk: &OrderFixture, way: Way, round: usize) -> anyhow::Result<Duration> {
     let session = desk.session(ISSUER).await?;
     let (entry, call) = match way {
         Way::Unkeyed => {
--- a/tests/src/lib.rs
+++ b/tests/src/lib.rs
@@ -4,9 +4,9 @@
 //! stand-ins and `shallotd` processes, and causes failures through the handles it gets.
 
 mod case;
-mod desk;
 mod entry;
 mod lists;
+mod order_fixture;
 mod platform;
 mod program;
 mod relay;
@@ -18,9 +18,9 @@
 mod wait;
 
 pub use case::{Case, TargetGroup};
-pub use desk::{Desk, has_verdict, is_kept};
 pub use entry::{Entry, EntryReady};
 pub use lists::RevisionWatch;
+pub use order_fixture::{OrderFixture, has_verdict, is_kept_answer};
 pub use platform::Platform;
 pub use program::Program;
 pub use relay::{Links, Relay, RelayFaults};
--- a/tests/src/lists.rs
+++ b/tests/src/lists.rs
@@ -81,7 +81,7 @@
     }
 
     /// Ends the watch; every fall that it saw.
-    pub fn falls(self) -> Vec<String> {
+    pub fn decreases(self) -> Vec<String> {
         self.task.abort();
         self.falls.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
--- a/tests/src/desk.rs
+++ b/tests/src/order_fixture.rs
@@ -12,7 +12,7 @@
 
 /// Three entries before the targets of the order desk.
 #[derive(Debug)]
-pub struct Desk {
+pub struct OrderFixture {
     /// Every process.
     pub running: Running,
     /// The service that takes orders.
@@ -20,17 +20,17 @@
     caller: Caller,
 }
 
-impl Desk {
+impl OrderFixture {
     /// Starts the usual case.
     ///
     /// # Errors
     /// When a process can't be started.
-    pub async fn open() -> anyhow::Result<Self> {
-        Self::start(Self::case()).await
+    pub async fn start_default() -> anyhow::Result<Self> {
+        Self::start(Self::default_case()).await
     }
 
     /// The usual case, with short times so that tests of silence and leaving end soon.
-    pub fn case() -> Case {
+    pub fn default_case() -> Case {
         Case::new()
             .with_entries(3)
             .with_service("order-desk", 2)
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     /// When it does not begin in time.
-    pub async fn wait_until_runs(&self, key: &str) -> anyhow::Result<()> {
+    pub async fn wait_until_running(&self, key: &str) -> anyhow::Result<()> {
         wait_until("the order runs", async || self.runs(key).await.is_ok_and(|runs| runs == 1))
             .await
     }
@@ -123,7 +123,7 @@
 }
 
 /// Whether the answer is the kept one of an earlier run.
-pub fn is_kept(report: &Report) -> bool {
+pub fn is_kept_answer(report: &Report) -> bool {
     report.success().is_some() && report.verdict() == Some(Verdict::Ran)
 }
 
--- a/tests/tests/at_most_once.rs
+++ b/tests/tests/at_most_once.rs
@@ -4,7 +4,7 @@
 
 use futures::future::join_all;
 use shallotfork_standin::caller::Report;
-use shallotfork_tests::{Desk, has_verdict, is_kept, wait_until};
+use shallotfork_tests::{OrderFixture, has_verdict, is_kept_answer, wait_until};
 use shallotfork_types::Verdict;
 
 const ISSUER: usize = 0;
@@ -18,7 +18,7 @@
 /// must run the order once, and every later repeat gets its answer.
 #[tokio::test]
 async fn copies_through_every_entry_run_once() -> anyhow::Result<()> {
-    let desk = Desk::open().await?;
+    let desk = OrderFixture::start_default().await?;
     let session = desk.session(ISSUER).await?;
     let order = desk.slow_order("copies", &session, Duration::from_millis(50))?;
 
@@ -32,7 +32,7 @@
     assert!(reports.iter().any(|report| report.success().is_some()));
     for entry in [ISSUER, EXECUTOR, OTHER] {
         let repeat = desk.send(entry, &order).await;
-        assert!(is_kept(&repeat), "{repeat:?}");
+        assert!(is_kept_answer(&repeat), "{repeat:?}");
     }
     assert_eq!(1, desk.runs("copies").await?);
     Ok(())
@@ -43,7 +43,7 @@
 /// new session from a live entry works.
 #[tokio::test]
 async fn a_killed_issuer_costs_knowledge_and_no_second_run() -> anyhow::Result<()> {
-    let mut desk = Desk::open().await?;
+    let mut desk = OrderFixture::start_default().await?;
     let session = desk.session(ISSUER).await?;
     let order = desk.slow_order("issuer-killed", &session, Duration::from_millis(400))?;
 
@@ -78,7 +78,7 @@
 /// must not be taken for a new one.
 #[tokio::test]
 async fn a_restarted_issuer_does_not_run_old_orders_again() -> anyhow::Result<()> {
-    let mut desk = Desk::open().await?;
+    let mut desk = OrderFixture::start_default().await?;
     let session = desk.session(ISSUER).await?;
     let order = desk.order("restarted", &session)?;
     assert!(desk.send(EXECUTOR, &order).await.success().is_some());
@@ -99,7 +99,7 @@
 /// another entry: it may have run, and must not run a second time.
 #[tokio::test]
 async fn a_killed_executor_leaves_its_order_as_may_have_run() -> anyhow::Result<()> {
-    let mut desk = Desk::open().await?;
+    let mut desk = OrderFixture::start_default().await?;
     let session = desk.session(ISSUER).await?;
     let order = desk.slow_order("executor-killed", &session, Duration::from_millis(400))?;
 
@@ -109,7 +109,7 @@
         let order = order.clone();
         async move { caller.send_to(address, &order).await }
     });
-    desk.wait_until_runs("executor-killed").await?;
+    desk.wait_until_running("executor-killed").await?;
     desk.running.entries[EXECUTOR].program.kill().await?;
 
     let first = first.await?;
@@ -127,7 +127,7 @@
 /// ran is closed, so its late claim starts nothing; the order that ended meanwhile has its answer.
 #[tokio::test]
 async fn a_paused_issuer_grants_nothing_late() -> anyhow::Result<()> {
-    let desk = Desk::open().await?;
+    let desk = OrderFixture::start_default().await?;
     let session = desk.session(ISSUER).await?;
     // Ends when the issuer is under suspicion already, so that its report cannot wait in a buffer.
     let ended = desk.slow_order("ends-in-pause", &session, Duration::from_millis(1500))?;
@@ -135,7 +135,7 @@
 
     let ending = desk.send(EXECUTOR, &ended);
     let pausing = async {
-        desk.wait_until_runs("ends-in-pause").await?;
+        desk.wait_until_running("ends-in-pause").await?;
         desk.running.entries[ISSUER].program.pause()?;
         let began = Instant::now();
         let told = desk.send(EXECUTOR, &order).await;
@@ -154,7 +154,7 @@
     assert!(has_verdict(&later, Verdict::MayHaveRun), "{later:?}");
     let not_run = |report: &Report| has_verdict(report, Verdict::NotRun);
     desk.resend_until(EXECUTOR, &order, "the key is closed", not_run).await?;
-    desk.resend_until(OTHER, &ended, "the late report counts", is_kept).await?;
+    desk.resend_until(OTHER, &ended, "the late report counts", is_kept_answer).await?;
     assert_eq!(0, desk.runs("in-pause").await?);
     assert_eq!(1, desk.runs("ends-in-pause").await?);
     Ok(())
@@ -164,8 +164,8 @@
 /// Each is told at once that nobody knows; none waits for the timeouts of those before it.
 #[tokio::test]
 async fn many_orders_to_a_hanging_issuer_are_all_answered_at_once() -> anyhow::Result<()> {
-    let case = Desk::case().with_setting("peers", "suspect_after_ms", "60000");
-    let desk = Desk::start(case).await?;
+    let case = OrderFixture::default_case().with_setting("peers", "suspect_after_ms", "60000");
+    let desk = OrderFixture::start(case).await?;
     let session = desk.session(ISSUER).await?;
     desk.running.entries[ISSUER].program.pause()?;
 
@@ -189,13 +189,13 @@
 /// in between are told "may have run"; afterwards they get the answer of the one run.
 #[tokio::test]
 async fn a_paused_executor_wakes_up_and_runs_nothing_twice() -> anyhow::Result<()> {
-    let desk = Desk::open().await?;
+    let desk = OrderFixture::start_default().await?;
     let session = desk.session(ISSUER).await?;
     let order = desk.slow_order("executor-paused", &session, Duration::from_millis(300))?;
 
     let sending = desk.send(EXECUTOR, &order);
     let pausing = async {
-        desk.wait_until_runs("executor-paused").await?;
+        desk.wait_until_running("executor-paused").await?;
         desk.running.entries[EXECUTOR].program.pause()?;
         tokio::time::sleep(Duration::from_secs(3)).await;
         let repeat = desk.send(OTHER, &order).await;
@@ -206,7 +206,7 @@
     let repeat = repeat?;
 
     assert!(has_verdict(&repeat, Verdict::MayHaveRun), "{repeat:?}");
-    desk.resend_until(OTHER, &order, "the late report counts", is_kept).await?;
+    desk.resend_until(OTHER, &order, "the late report counts", is_kept_answer).await?;
     assert_eq!(1, desk.runs("executor-paused").await?);
     Ok(())
 }
@@ -215,7 +215,7 @@
 /// through the cut-off entry is not run there on a guess; through the third one it runs once.
 #[tokio::test]
 async fn a_cut_between_entries_runs_nothing_on_a_guess() -> anyhow::Result<()> {
-    let desk = Desk::start(Desk::case().with_peer_relays()).await?;
+    let desk = OrderFixture::start(OrderFixture::default_case().with_peer_relays()).await?;
     let session = desk.session(ISSUER).await?;
     let vm = |entry: usize| &desk.running.entries[entry].vm;
     for (number, both) in [(1, true), (2, false)] {
@@ -238,7 +238,7 @@
         let runs = u64::from(other.success().is_some());
         assert!(runs == u64::from(both), "{other:?}");
         let settled = |report: &Report| match both {
-            true => is_kept(report),
+            true => is_kept_answer(report),
             false => has_verdict(report, Verdict::NotRun),
         };
         desk.resend_until(EXECUTOR, &order, "the entries are in touch", settled).await?;
@@ -252,7 +252,7 @@
 /// gets the kept answer.
 #[tokio::test]
 async fn knowledge_outlives_the_replacement_of_every_entry() -> anyhow::Result<()> {
-    let mut desk = Desk::open().await?;
+    let mut desk = OrderFixture::start_default().await?;
     let session = desk.session(ISSUER).await?;
     let order = desk.order("before-replacement", &session)?;
     assert!(desk.send(EXECUTOR, &order).await.success().is_some());
@@ -269,7 +269,7 @@
 
     for entry in 0..3 {
         let repeat = desk.send(entry, &order).await;
-        assert!(is_kept(&repeat), "{repeat:?}");
+        assert!(is_kept_answer(&repeat), "{repeat:?}");
     }
     assert_eq!(1, desk.runs("before-replacement").await?);
     Ok(())
@@ -279,7 +279,7 @@
 /// kept answer, and an order never seen before is refused as "not run", for good.
 #[tokio::test]
 async fn a_planned_stop_leaves_its_knowledge_with_peers() -> anyhow::Result<()> {
-    let mut desk = Desk::open().await?;
+    let mut desk = OrderFixture::start_default().await?;
     let session = desk.session(ISSUER).await?;
     let ran = desk.order("before-stop", &session)?;
     let unknown = desk.order("after-stop", &session)?;
@@ -293,7 +293,7 @@
         let slow = slow.clone();
         async move { caller.send_to(address, &slow).await }
     });
-    desk.wait_until_runs("during-stop").await?;
+    desk.wait_until_running("during-stop").await?;
     desk.running.entries[ISSUER].program.terminate()?;
     let status = desk.running.entries[ISSUER].program.wait_exit().await?;
 
@@ -302,7 +302,7 @@
     for entry in [EXECUTOR, OTHER] {
         for order in [&ran, &slow] {
             let repeat = desk.send(entry, order).await;
-            assert!(is_kept(&repeat), "{repeat:?}");
+            assert!(is_kept_answer(&repeat), "{repeat:?}");
         }
         let refused = desk.send(entry, &unknown).await;
         assert!(has_verdict(&refused, Verdict::NotRun), "{refused:?}");
--- a/tests/tests/at_most_once_refused.rs
+++ b/tests/tests/at_most_once_refused.rs
@@ -1,7 +1,7 @@
 //! Requests that are refused before they are claimed, and sessions that nobody may use.
 
 use shallotfork_standin::caller::{Caller, CallerConfig, Report};
-use shallotfork_tests::{Desk, has_verdict, wait_until};
+use shallotfork_tests::{OrderFixture, has_verdict, wait_until};
 use shallotfork_types::Verdict;
 
 const ISSUER: usize = 0;
@@ -20,7 +20,7 @@
 /// double the order.
 #[tokio::test]
 async fn a_key_refused_as_not_run_never_runs_by_another_copy() -> anyhow::Result<()> {
-    let desk = Desk::open().await?;
+    let desk = OrderFixture::start_default().await?;
     let session = desk.session(ISSUER).await?;
     let whole = desk.order("damaged", &session)?;
     let damaged = whole.clone().with_header("content-digest", WRONG_DIGEST);
@@ -37,7 +37,7 @@
 /// The same, but the issuer cannot be reached to close the key: "not run" would be a guess.
 #[tokio::test]
 async fn a_refusal_that_cannot_be_closed_is_not_called_not_run() -> anyhow::Result<()> {
-    let mut desk = Desk::open().await?;
+    let mut desk = OrderFixture::start_default().await?;
     let session = desk.session(ISSUER).await?;
     let order = desk.order("damaged", &session)?.with_header("content-digest", WRONG_DIGEST);
     desk.running.entries[ISSUER].program.kill().await?;
@@ -52,7 +52,12 @@
 /// new session of another entry; copies of the refused order stay refused everywhere.
 #[tokio::test]
 async fn a_full_ledger_refuses_and_others_go_on() -> anyhow::Result<()> {
-    let desk = Desk::start(Desk::case().with_setting("once", "operations_max", "2")).await?;
+    let desk = OrderFixture::start(OrderFixture::default_case().with_setting(
+        "once",
+        "operations_max",
+        "2",
+    ))
+    .await?;
     let session = desk.session(ISSUER).await?;
     for number in 0..2 {
         let taken = desk.send(EXECUTOR, &desk.order(&format!("taken-{number}"), &session)?).await;
@@ -78,7 +83,7 @@
 /// answer, and nothing runs.
 #[tokio::test]
 async fn forged_sessions_run_nothing() -> anyhow::Result<()> {
-    let desk = Desk::open().await?;
+    let desk = OrderFixture::start_default().await?;
     let session = desk.session(ISSUER).await?;
     let longer = session.replace("~600000~", "~999999999~");
     assert_ne!(session, longer);
@@ -99,7 +104,7 @@
 /// next order would be refused.
 #[tokio::test]
 async fn a_leaving_entry_gives_sessions_of_others() -> anyhow::Result<()> {
-    let mut desk = Desk::open().await?;
+    let mut desk = OrderFixture::start_default().await?;
     let address = desk.running.caller_addresses()[ISSUER];
     let caller = Caller::new(CallerConfig::new(vec![address]))?;
     desk.running.entries[ISSUER].program.terminate()?;
--- a/tests/tests/lists_in_force.rs
+++ b/tests/tests/lists_in_force.rs
@@ -80,7 +80,7 @@
     wait_until("the last list is in force", async || running.has_rules_everywhere(last).await)
         .await?;
     assert!(running.agrees_on_rules().await);
-    assert_eq!(Vec::<String>::new(), watch.falls());
+    assert_eq!(Vec::<String>::new(), watch.decreases());
     Ok(())
 }
 
@@ -107,6 +107,6 @@
         };
         wait_until("the alarm is raised", conflicts).await?;
     }
-    assert_eq!(Vec::<String>::new(), watch.falls());
+    assert_eq!(Vec::<String>::new(), watch.decreases());
     Ok(())
 }
--- a/tests/tests/lists_under_faults.rs
+++ b/tests/tests/lists_under_faults.rs
@@ -66,7 +66,7 @@
         wait_until("the old list is refused", refused).await?;
     }
     assert!(running.has_rules_everywhere(new).await);
-    assert_eq!(Vec::<String>::new(), watch.falls());
+    assert_eq!(Vec::<String>::new(), watch.decreases());
     Ok(())
 }
 
@@ -128,7 +128,7 @@
     let third = running.platform.publish_over("rules", &rules(4), second).await?;
     let third = third.ok_or_else(|| anyhow::anyhow!("somebody else published"))?;
     wait_in_force(&running, third).await?;
-    assert_eq!(Vec::<String>::new(), watch.falls());
+    assert_eq!(Vec::<String>::new(), watch.decreases());
     Ok(())
 }
 
@@ -160,7 +160,7 @@
     assert!(running.entries[2].is_ready().await);
     running.links.heal();
     wait_in_force(&running, revision).await?;
-    assert_eq!(Vec::<String>::new(), watch.falls());
+    assert_eq!(Vec::<String>::new(), watch.decreases());
     Ok(())
 }
 
@@ -181,6 +181,6 @@
     running.entries[2].program.resume()?;
     wait_in_force(&running, second).await?;
     assert!(running.agrees_on_rules().await);
-    assert_eq!(Vec::<String>::new(), watch.falls());
+    assert_eq!(Vec::<String>::new(), watch.decreases());
     Ok(())
 }
