--- a/tests/src/case.rs
+++ b/tests/src/case.rs
@@ -1,19 +1,19 @@
-//! Describes a system to start.
+//! Configuration of a system under test.
 
 use shallotfork_types::{FailureDomain, ServiceName};
 
 use crate::running::Running;
 
-/// Rules that let everything through.
+/// Rules that admit every request.
 const RULES: &str = "[everything]\nthen.deadline_ms = 5000\n";
 const DOMAINS: [&str; 3] = ["kalgoorlie", "boulder", "coolgardie"];
 
-/// The targets of one service.
+/// The service and the number of its targets.
 #[derive(Debug, Clone)]
 pub struct TargetGroup {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// How many targets it has.
+    /// Number of targets.
     pub targets: usize,
 }
 
@@ -24,7 +24,7 @@
     pub value: String,
 }
 
-/// A system of one platform stand-in, target stand-ins and entries.
+/// Configuration of a system of one platform stand-in, target stand-ins and entries.
 #[derive(Debug, Clone)]
 pub struct Case {
     pub(crate) entries: usize,
@@ -32,7 +32,7 @@
     pub(crate) rules: String,
     pub(crate) domains: Vec<String>,
     pub(crate) replicas: usize,
-    pub(crate) knows_one_replica: bool,
+    pub(crate) has_own_replica: bool,
     pub(crate) settings: Vec<ExtraSetting>,
     pub(crate) target_args: Vec<String>,
     pub(crate) has_peer_relays: bool,
@@ -48,7 +48,7 @@
             rules: RULES.to_owned(),
             domains: DOMAINS.map(str::to_owned).to_vec(),
             replicas: 1,
-            knows_one_replica: false,
+            has_own_replica: false,
             settings: Vec::new(),
             target_args: Vec::new(),
             has_peer_relays: false,
@@ -59,7 +59,7 @@
 }
 
 impl Case {
-    /// One entry, no targets, rules that let everything through.
+    /// Returns a case with one entry, no targets and rules that admit every request.
     pub fn new() -> Self {
         Self::default()
     }
@@ -85,23 +85,23 @@
         self
     }
 
-    /// Sets the number of platform replicas; entries know all of them, the first one first for
-    /// the first entry and so on round.
+    /// Sets the number of platform replicas. Every entry knows all of them; the replica it lists
+    /// first rotates with the number of the entry.
     #[must_use]
     pub fn with_replicas(mut self, replicas: usize) -> Self {
         self.replicas = replicas;
         self
     }
 
-    /// Gives each entry one platform replica of its own, so that a fault can hit one entry's view.
+    /// Gives each entry a platform replica of its own, so that a fault can affect a single entry.
     #[must_use]
     pub fn with_replica_for_each_entry(mut self) -> Self {
         self.replicas = self.entries;
-        self.knows_one_replica = true;
+        self.has_own_replica = true;
         self
     }
 
-    /// Sets a key in every entry's settings.
+    /// Sets a key in the settings of every entry.
     #[must_use]
     pub fn with_setting(mut self, section: &str, key: &str, value: &str) -> Self {
         let (section, key, value) = (section.to_owned(), key.to_owned(), value.to_owned());
@@ -109,38 +109,38 @@
         self
     }
 
-    /// Adds an option to every target's command line.
+    /// Adds an option to the command line of every target.
     #[must_use]
     pub fn with_target_option(mut self, name: &str, value: &str) -> Self {
         self.target_args.extend([name.to_owned(), value.to_owned()]);
         self
     }
 
-    /// Puts a relay before each entry's peers' port.
+    /// Puts a relay in front of the peer port of each entry.
     #[must_use]
     pub fn with_peer_relays(mut self) -> Self {
         self.has_peer_relays = true;
         self
     }
 
-    /// Puts a relay before each target.
+    /// Puts a relay in front of each target.
     #[must_use]
     pub fn with_target_relays(mut self) -> Self {
         self.has_target_relays = true;
         self
     }
 
-    /// Does not wait until the entries serve.
+    /// Lets [`Case::start`] return without waiting until the entries are ready.
     #[must_use]
     pub fn without_waiting(mut self) -> Self {
         self.waits_until_ready = false;
         self
     }
 
-    /// Starts every process, publishes and waits until every entry serves.
+    /// Starts every process, publishes the configuration and waits until every entry is ready.
     ///
     /// # Errors
-    /// When a process can't be started or an entry is not ready in time.
+    /// Returns an error if a process can't be started or an entry is not ready in time.
     pub async fn start(self) -> anyhow::Result<Running> {
         Running::start(self).await
     }
--- a/tests/src/entry.rs
+++ b/tests/src/entry.rs
@@ -1,4 +1,4 @@
-//! A `shallotd` process.
+//! An entry, run as a `shallotd` process.
 
 use std::path::Path;
 
@@ -11,16 +11,16 @@
 use crate::relay::Relay;
 use crate::settings::EntrySettings;
 
-/// The ready line of `shallotd`.
+/// The line that `shallotd` prints once its ports are open.
 #[derive(Debug, Clone, Deserialize)]
 pub struct EntryReady {
-    /// The VM that it runs on.
+    /// The entry VM.
     pub vm: VmId,
-    /// Where callers connect.
+    /// Port for callers.
     pub callers: Endpoint,
-    /// Where peers connect.
+    /// Port for peers.
     pub peers: Endpoint,
-    /// Where operators connect.
+    /// Port for operators.
     pub operators: Endpoint,
 }
 
@@ -29,17 +29,17 @@
 pub struct Entry {
     /// The process.
     pub program: Program,
-    /// Its VM.
+    /// The entry VM.
     pub vm: VmId,
-    /// Where it stands.
+    /// Failure domain of the entry VM.
     pub failure_domain: FailureDomain,
-    /// Its ports.
+    /// Ports of the entry.
     pub ready: EntryReady,
-    /// What it was started with.
+    /// Settings that the process was started with.
     pub settings: EntrySettings,
-    /// What stands before its peers' port, when the case asks for it.
+    /// Relay in front of the peer port, in a case with peer relays.
     pub relay: Option<Relay>,
-    /// Whether the platform says that it is leaving.
+    /// Whether the VM list publishes the entry as leaving.
     pub published_leaving: bool,
     http: reqwest::Client,
 }
@@ -70,21 +70,21 @@
         })
     }
 
-    /// Whether the entry serves.
+    /// Returns whether the entry reports that it is ready.
     pub async fn is_ready(&self) -> bool {
         self.operator_get("/v1/ready").await.is_ok()
     }
 
-    /// What the entry tells operators of its state.
+    /// Reads the status report of the entry.
     ///
     /// # Errors
-    /// When the operators' port does not answer.
+    /// Returns an error if the operator port does not answer.
     pub async fn status(&self) -> anyhow::Result<StatusReport> {
         Ok(serde_json::from_str(&self.operator_get("/v1/status").await?)?)
     }
 
-    /// Whether the entry takes all of these, itself aside, for live.
-    pub(crate) async fn knows_live(&self, others: &[&VmId]) -> bool {
+    /// Returns whether the entry reports every one of `others`, apart from itself, as live.
+    pub(crate) async fn reports_live(&self, others: &[&VmId]) -> bool {
         let Ok(status) = self.status().await else {
             return false;
         };
@@ -93,10 +93,10 @@
         others.iter().all(|vm| **vm == self.vm || is_live(vm))
     }
 
-    /// Reads a page of the operators' port.
+    /// Reads a page of the operator port.
     ///
     /// # Errors
-    /// When the port does not answer with a success.
+    /// Returns an error if the port does not answer with a success status.
     pub async fn operator_get(&self, path: &str) -> anyhow::Result<String> {
         let url = format!("http://{}{path}", self.ready.operators);
         Ok(self.http.get(url).send().await?.error_for_status()?.text().await?)
--- a/tests/src/lib.rs
+++ b/tests/src/lib.rs
@@ -1,7 +1,8 @@
-//! Harness of the process tests: starts real programs on loopback ports and ends them.
+//! Harness of the process tests: runs the real programs on loopback ports.
 //!
-//! A test builds a [`Case`], starts it to a [`Running`] system of a platform stand-in, target
-//! stand-ins and `shallotd` processes, and causes failures through the handles it gets.
+//! A test builds a [`Case`] and starts it. The resulting [`Running`] system consists of a platform
+//! stand-in, target stand-ins and `shallotd` processes, through whose handles the test injects
+//! faults.
 
 mod case;
 mod entry;
--- a/tests/src/lists.rs
+++ b/tests/src/lists.rs
@@ -1,4 +1,4 @@
-//! What entries have in force, read from their operators' port.
+//! Published lists in force at entries, read from their operator ports.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,37 +12,37 @@
 use crate::entry::Entry;
 use crate::running::Running;
 
-/// How often a [`RevisionWatch`] looks.
+/// Polling period of a [`RevisionWatch`].
 const WATCH_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Entry {
-    /// The changes that the entry remembers.
+    /// Reads the audit log of the entry.
     ///
     /// # Errors
-    /// When its operators' port does not answer.
+    /// Returns an error if the operator port does not answer.
     pub async fn audit(&self) -> anyhow::Result<Vec<AuditChange>> {
         let report: AuditReport = serde_json::from_str(&self.operator_get("/v1/audit").await?)?;
         Ok(report.changes)
     }
 
-    /// The rule list that the entry has in force.
+    /// Reads the status of the rule list in force at the entry.
     ///
     /// # Errors
-    /// When the operators' port does not answer or no rule list is in force.
+    /// Returns an error if the operator port does not answer or no rule list is in force.
     pub async fn rules(&self) -> anyhow::Result<ListStatus> {
         let lists = self.status().await?.lists;
         let rules = lists.into_iter().find(|list| list.name == ListName::Rules);
         rules.context("no rules in force")
     }
 
-    /// The revision of the rules that the entry has in force; none when it does not answer.
+    /// Returns the revision of the rules in force; [`Revision::NONE`] if the entry does not answer.
     pub async fn rules_revision(&self) -> Revision {
         self.rules().await.map_or(Revision::NONE, |rules| rules.revision)
     }
 }
 
 impl Running {
-    /// Whether every entry has these rules, or later ones, in force.
+    /// Returns whether every entry has this or a later revision of the rules in force.
     pub async fn has_rules_everywhere(&self, revision: Revision) -> bool {
         for entry in &self.entries {
             if entry.rules_revision().await < revision {
@@ -52,7 +52,7 @@
         true
     }
 
-    /// Whether every entry has the same version of the rules in force.
+    /// Returns whether every entry has the same version of the rules in force.
     pub async fn agrees_on_rules(&self) -> bool {
         let mut versions = Vec::new();
         for entry in &self.entries {
@@ -64,30 +64,30 @@
     }
 }
 
-/// Looks at entries all the time and notes each time that a revision in force falls.
+/// Polls entries in the background and records each decrease of a revision in force.
 #[derive(Debug)]
 pub struct RevisionWatch {
-    falls: Arc<Mutex<Vec<String>>>,
+    decreases: Arc<Mutex<Vec<String>>>,
     task: JoinHandle<()>,
 }
 
 impl RevisionWatch {
-    /// Begins to look at these entries; those that do not answer are left out.
+    /// Starts polling `entries`; an entry that does not answer is skipped until the next round.
     pub fn start(entries: &[Entry]) -> Self {
         let ports = entries.iter().map(|entry| entry.ready.operators).collect();
-        let falls = Arc::default();
-        let task = tokio::spawn(watch(ports, Arc::clone(&falls)));
-        Self { falls, task }
+        let decreases = Arc::default();
+        let task = tokio::spawn(watch(ports, Arc::clone(&decreases)));
+        Self { decreases, task }
     }
 
-    /// Ends the watch; every fall that it saw.
+    /// Stops polling and returns a description of every decrease seen.
     pub fn decreases(self) -> Vec<String> {
         self.task.abort();
-        self.falls.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.decreases.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-async fn watch(ports: Vec<Endpoint>, falls: Arc<Mutex<Vec<String>>>) {
+async fn watch(ports: Vec<Endpoint>, decreases: Arc<Mutex<Vec<String>>>) {
     let http = reqwest::Client::new();
     let mut highest: BTreeMap<(VmId, ListName), Revision> = BTreeMap::new();
     loop {
@@ -96,8 +96,9 @@
             for list in report.lists {
                 let seen = highest.entry((report.vm.clone(), list.name.clone())).or_default();
                 if list.revision < *seen {
-                    let fall = format!("{} {}: {seen} to {}", report.vm, list.name, list.revision);
-                    falls.lock().unwrap_or_else(PoisonError::into_inner).push(fall);
+                    let decrease =
+                        format!("{} {}: {seen} to {}", report.vm, list.name, list.revision);
+                    decreases.lock().unwrap_or_else(PoisonError::into_inner).push(decrease);
                 }
                 *seen = list.revision.max(*seen);
             }
--- a/tests/src/order_fixture.rs
+++ b/tests/src/order_fixture.rs
@@ -1,4 +1,4 @@
-//! An order desk to test: three entries before the targets of one service.
+//! Test fixture for orders: three entries in front of the targets of one service.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 
 use crate::{Case, Running, wait_until};
 
-/// Three entries before the targets of the order desk.
+/// A running system of three entries in front of the targets of the `order-desk` service.
 #[derive(Debug)]
 pub struct OrderFixture {
-    /// Every process.
+    /// The running processes.
     pub running: Running,
     /// The service that takes orders.
     pub service: ServiceName,
@@ -21,15 +21,16 @@
 }
 
 impl OrderFixture {
-    /// Starts the usual case.
+    /// Starts the default case.
     ///
     /// # Errors
-    /// When a process can't be started.
+    /// Returns an error if a process can't be started.
     pub async fn start_default() -> anyhow::Result<Self> {
         Self::start(Self::default_case()).await
     }
 
-    /// The usual case, with short times so that tests of silence and leaving end soon.
+    /// Returns the default case, with short periods so that tests of silent and leaving entries are
+    /// quick.
     pub fn default_case() -> Case {
         Case::new()
             .with_entries(3)
@@ -42,92 +43,92 @@
     /// Starts a case.
     ///
     /// # Errors
-    /// When a process can't be started.
+    /// Returns an error if a process can't be started.
     pub async fn start(case: Case) -> anyhow::Result<Self> {
         let running = case.start().await?;
         let caller = running.caller()?;
         Ok(Self { running, service: "order-desk".parse()?, caller })
     }
 
-    /// A new session of one entry.
+    /// Requests a new session from one entry.
     ///
     /// # Errors
-    /// When the entry gives none.
+    /// Returns an error if the entry issues none.
     pub async fn session(&self, entry: usize) -> anyhow::Result<String> {
         let address = self.running.caller_addresses()[entry];
         let caller = Caller::new(CallerConfig::new(vec![address]))?;
         caller.entries(&self.service).await?.session.context("no session")
     }
 
-    /// An order under a key.
+    /// Builds an order with an idempotency key.
     ///
     /// # Errors
-    /// When the key is not valid.
+    /// Returns an error if the key is not valid.
     pub fn order(&self, key: &str, session: &str) -> anyhow::Result<Call> {
         let body = Bytes::from_static(b"two drums of saltbush pepper");
         let key = IdempotencyKey::new(key)?;
         Ok(Call::post(self.service.clone(), "/orders", key, body).with_session(session))
     }
 
-    /// An order that a target works on for this long.
+    /// Builds an order that occupies its target for `work`.
     ///
     /// # Errors
-    /// When the key is not valid.
+    /// Returns an error if the key is not valid.
     pub fn slow_order(&self, key: &str, session: &str, work: Duration) -> anyhow::Result<Call> {
         let work_us = work.as_micros().to_string();
         Ok(self.order(key, session)?.with_header(SERVICE_US_HEADER, &work_us))
     }
 
-    /// Sends an order to one entry, once.
+    /// Sends an order to one entry, without retries.
     pub async fn send(&self, entry: usize, order: &Call) -> Report {
         self.caller.send_to(self.running.caller_addresses()[entry], order).await
     }
 
-    /// Runs of the order under `key` at all targets together.
+    /// Returns how often the order with `key` has run, summed over all targets.
     ///
     /// # Errors
-    /// When a target does not tell.
+    /// Returns an error if the records of a target can't be read.
     pub async fn runs(&self, key: &str) -> anyhow::Result<u64> {
         self.running.runs_of_key(key).await
     }
 
-    /// Waits until the order under `key` has begun to run.
+    /// Waits until the order with `key` has started to run.
     ///
     /// # Errors
-    /// When it does not begin in time.
+    /// Returns an error if it does not start in time.
     pub async fn wait_until_running(&self, key: &str) -> anyhow::Result<()> {
         wait_until("the order runs", async || self.runs(key).await.is_ok_and(|runs| runs == 1))
             .await
     }
 
-    /// Sends an order again until the answer fits; returns that answer.
+    /// Sends an order repeatedly until its report satisfies `matches`; returns that report.
     ///
     /// # Errors
-    /// When none fits in time.
+    /// Returns an error if no report does in time.
     pub async fn resend_until(
         &self,
         entry: usize,
         order: &Call,
         what: &str,
-        fits: impl Fn(&Report) -> bool,
+        matches: impl Fn(&Report) -> bool,
     ) -> anyhow::Result<Report> {
         let mut last = self.send(entry, order).await;
         wait_until(what, async || {
             last = self.send(entry, order).await;
-            fits(&last)
+            matches(&last)
         })
         .await
-        .with_context(|| format!("the last answer: {last:?}"))?;
+        .with_context(|| format!("last report: {last:?}"))?;
         Ok(last)
     }
 }
 
-/// Whether the answer is the kept one of an earlier run.
+/// Returns whether the answer is the kept answer of an earlier run.
 pub fn is_kept_answer(report: &Report) -> bool {
     report.success().is_some() && report.verdict() == Some(Verdict::Ran)
 }
 
-/// Whether the system itself answered, with this verdict.
+/// Returns whether an entry itself answered, with this verdict.
 pub fn has_verdict(report: &Report, verdict: Verdict) -> bool {
     report.success().is_none() && report.verdict() == Some(verdict)
 }
--- a/tests/src/platform.rs
+++ b/tests/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in as a process.
+//! The platform stand-in, run as a process.
 
 use std::path::Path;
 
@@ -12,7 +12,7 @@
 
 use crate::program::Program;
 
-/// One entry VM as the platform publishes it.
+/// An item of the published VM list.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct VmJson {
     pub id: VmId,
@@ -27,7 +27,7 @@
     vms: &'a [VmJson],
 }
 
-/// One target as the platform publishes it.
+/// An item of a published target list.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct TargetJson {
     pub id: TargetId,
@@ -55,7 +55,7 @@
 pub struct Platform {
     /// The process.
     pub program: Program,
-    /// Every replica's address.
+    /// Addresses of the replicas.
     pub replicas: Vec<Endpoint>,
     control: Endpoint,
     http: reqwest::Client,
@@ -73,21 +73,21 @@
         Ok(Self { program, replicas: ready.replicas, control: ready.control, http })
     }
 
-    /// Publishes a value, whatever its revision is.
+    /// Publishes a value unconditionally.
     ///
     /// # Errors
-    /// When the platform's control port does not take it.
+    /// Returns an error if the control port rejects the request or does not answer.
     pub async fn publish(&self, name: &str, content: &str) -> anyhow::Result<()> {
         let url = format!("http://{}/v1/values/{name}", self.control);
         self.http.put(url).body(content.to_owned()).send().await?.error_for_status()?;
         Ok(())
     }
 
-    /// Publishes a value only over the revision expected; gives the new revision, or nothing when
-    /// another publisher was first.
+    /// Publishes a value if its current revision is `expected`. Returns the new revision, or `None`
+    /// if the revision differs because another publisher came first.
     ///
     /// # Errors
-    /// When the platform's control port fails.
+    /// Returns an error if the control port fails.
     pub async fn publish_over(
         &self,
         name: &str,
@@ -117,52 +117,55 @@
         self.publish(&format!("targets.{service}"), &content).await
     }
 
-    /// Sets how every replica answers.
+    /// Sets the answer mode of every replica.
     ///
     /// # Errors
-    /// When the control port fails.
+    /// Returns an error if the control port fails.
     pub async fn set_mode(&self, mode: ReplicaMode) -> anyhow::Result<()> {
         self.fault(None, Fault::Mode(mode)).await
     }
 
-    /// Sets a fault of one replica, or of all.
+    /// Injects a fault into one replica, or into all of them.
     ///
     /// # Errors
-    /// When the control port fails or there is no such replica.
+    /// Returns an error if the control port fails or there is no such replica.
     pub async fn fault(&self, replica: Option<usize>, fault: Fault) -> anyhow::Result<()> {
-        ensure!(replica.is_none_or(|index| index < self.replicas.len()), "no such replica");
+        ensure!(
+            replica.is_none_or(|index| index < self.replicas.len()),
+            "no replica with this index"
+        );
         self.control(&PlatformControl::Fault(ReplicaFault { replica, fault })).await
     }
 
-    /// Forgets what was published after a revision.
+    /// Discards everything published after `revision`.
     ///
     /// # Errors
-    /// When the control port fails.
+    /// Returns an error if the control port fails.
     pub async fn roll_back(&self, revision: Revision) -> anyhow::Result<()> {
         self.control(&PlatformControl::RollBack(Rollback { revision })).await
     }
 
-    /// Delays what is published under a name from now on.
+    /// Delays later publications of the value `name`.
     ///
     /// # Errors
-    /// When the control port fails.
+    /// Returns an error if the control port fails.
     pub async fn delay(&self, name: &str, delay_ms: u64) -> anyhow::Result<()> {
         let delay = PublishDelay { name: name.to_owned(), delay_ms };
         self.control(&PlatformControl::Delay(delay)).await
     }
 
-    /// Sets the counts of calls to zero.
+    /// Resets the call counts to zero.
     ///
     /// # Errors
-    /// When the control port fails.
+    /// Returns an error if the control port fails.
     pub async fn reset_counts(&self) -> anyhow::Result<()> {
         self.control(&PlatformControl::ResetCounts).await
     }
 
-    /// Calls that readers made.
+    /// Returns the counts of calls made by readers.
     ///
     /// # Errors
-    /// When the control port fails.
+    /// Returns an error if the control port fails.
     pub async fn counts(&self) -> anyhow::Result<CallCounts> {
         let url = format!("http://{}/counts", self.control);
         Ok(self.http.get(url).send().await?.error_for_status()?.json().await?)
--- a/tests/src/program.rs
+++ b/tests/src/program.rs
@@ -1,4 +1,4 @@
-//! One started program.
+//! A program run as a child process.
 
 use std::env;
 use std::fs::{self, File};
@@ -14,12 +14,12 @@
 use tokio::process::{Child, ChildStdout, Command};
 use tokio::time::timeout;
 
-const READY_LIMIT: Duration = Duration::from_secs(20);
-const EXIT_LIMIT: Duration = Duration::from_secs(60);
-const STOP_LIMIT: Duration = Duration::from_secs(20);
-/// Time between two looks at whether a process stands still.
-const STOP_LOOK: Duration = Duration::from_millis(1);
-/// State of a thread that a signal has stopped, in `/proc/PID/task/TID/stat`.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(60);
+const STOP_TIMEOUT: Duration = Duration::from_secs(20);
+/// Polling period while waiting for the threads of a process to stop.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// State of a thread stopped by a signal, in `/proc/PID/task/TID/stat`.
 const STOPPED: &str = "T";
 
 /// A child process that is killed when this value is dropped.
@@ -32,17 +32,18 @@
 impl Program {
     /// Starts a program of this workspace and reads its ready line.
     ///
-    /// Its errors and logs go to `log`.
+    /// Standard error goes to the file `log`.
     ///
     /// # Errors
-    /// When the program can't be started or prints no ready line in time.
+    /// Returns an error if the program can't be started or prints no ready line in time.
     pub async fn start<R: DeserializeOwned>(
         name: &str,
         args: &[String],
         log: &Path,
     ) -> anyhow::Result<(Self, R)> {
         let path = program_path(name)?;
-        let log_file = File::create(log).with_context(|| format!("making {}", log.display()))?;
+        let log_file =
+            File::create(log).with_context(|| format!("failed to create {}", log.display()))?;
         let mut child = Command::new(&path)
             .args(args)
             .stdin(Stdio::null())
@@ -50,90 +51,94 @@
             .stderr(log_file)
             .kill_on_drop(true)
             .spawn()
-            .with_context(|| format!("starting {}; run ./test.sh to build it", path.display()))?;
-        let stdout = child.stdout.take().context("no standard output")?;
+            .with_context(|| {
+                format!("failed to start {}; build it with ./test.sh", path.display())
+            })?;
+        let stdout = child.stdout.take().context("standard output is not captured")?;
         let mut lines = BufReader::new(stdout).lines();
-        let ready = timeout(READY_LIMIT, read_ready(&mut lines)).await;
-        let ready = ready.with_context(|| format!("{name} is not ready, see {}", log.display()))?;
-        let ready = ready.with_context(|| format!("{name}, see {}", log.display()))?;
-        // A full pipe would block the program.
+        let ready = timeout(READY_TIMEOUT, read_ready(&mut lines)).await;
+        let ready =
+            ready.with_context(|| format!("{name} is not ready in time, see {}", log.display()))?;
+        let ready =
+            ready.with_context(|| format!("{name} failed to start, see {}", log.display()))?;
+        // Drains standard output, since a full pipe would block the program.
         tokio::spawn(async move { while let Ok(Some(_)) = lines.next_line().await {} });
         Ok((Self { name: name.to_owned(), child }, ready))
     }
 
-    /// The process id; nothing once the process has ended.
+    /// Returns the process id, or `None` once the process has been reaped.
     pub fn pid(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Ends the process at once with SIGKILL.
+    /// Kills the process with SIGKILL.
     ///
     /// # Errors
-    /// When the signal can't be sent.
+    /// Returns an error if the signal can't be sent.
     pub async fn kill(&mut self) -> anyhow::Result<()> {
-        self.child.kill().await.with_context(|| format!("killing {}", self.name))
+        self.child.kill().await.with_context(|| format!("failed to kill {}", self.name))
     }
 
-    /// Pauses the process with SIGSTOP and waits until all its threads stand still. On a busy machine
-    /// they go on for milliseconds after the signal was sent, and answer what arrives meanwhile.
+    /// Pauses the process with SIGSTOP and waits until all its threads have stopped. On a busy
+    /// machine they run on for milliseconds after the signal and answer what arrives meanwhile.
     ///
     /// # Errors
-    /// When the process has ended, or does not stop.
+    /// Returns an error if the process has ended, or does not stop.
     pub fn pause(&self) -> anyhow::Result<()> {
         self.signal(Signal::STOP)?;
         let pid = self.pid().with_context(|| format!("{} has ended", self.name))?;
         let began = Instant::now();
         while !all_threads_stopped(pid)? {
-            ensure!(began.elapsed() < STOP_LIMIT, "{} does not stop", self.name);
-            thread::sleep(STOP_LOOK);
+            ensure!(began.elapsed() < STOP_TIMEOUT, "{} did not stop in time", self.name);
+            thread::sleep(STOP_POLL_INTERVAL);
         }
         Ok(())
     }
 
-    /// Wakes the process with SIGCONT.
+    /// Resumes the process with SIGCONT.
     ///
     /// # Errors
-    /// When the process has ended.
+    /// Returns an error if the process has ended.
     pub fn resume(&self) -> anyhow::Result<()> {
         self.signal(Signal::CONT)
     }
 
-    /// Asks the process to stop gracefully with SIGTERM.
+    /// Requests a graceful stop with SIGTERM.
     ///
     /// # Errors
-    /// When the process has ended.
+    /// Returns an error if the process has ended.
     pub fn terminate(&self) -> anyhow::Result<()> {
         self.signal(Signal::TERM)
     }
 
-    /// Whether the process still runs.
+    /// Returns whether the process is still running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits until the process has ended.
+    /// Waits for the process to exit.
     ///
     /// # Errors
-    /// When it still runs after a minute.
+    /// Returns an error if it is still running after 60 s.
     pub async fn wait_exit(&mut self) -> anyhow::Result<ExitStatus> {
-        let status = timeout(EXIT_LIMIT, self.child.wait()).await;
-        let status = status.with_context(|| format!("{} does not end", self.name))?;
+        let status = timeout(EXIT_TIMEOUT, self.child.wait()).await;
+        let status = status.with_context(|| format!("{} did not exit in time", self.name))?;
         Ok(status?)
     }
 
     fn signal(&self, signal: Signal) -> anyhow::Result<()> {
         let pid = self.child.id().with_context(|| format!("{} has ended", self.name))?;
-        let pid = Pid::from_raw(i32::try_from(pid)?).context("not a process id")?;
-        kill_process(pid, signal).with_context(|| format!("signalling {}", self.name))
+        let pid = Pid::from_raw(i32::try_from(pid)?).context("invalid process id")?;
+        kill_process(pid, signal).with_context(|| format!("failed to signal {}", self.name))
     }
 }
 
-/// Programs stand beside the directory of the test that runs.
+/// Returns the path of a program: Cargo puts it one directory above the test executable.
 fn program_path(name: &str) -> anyhow::Result<PathBuf> {
     let test = env::current_exe()?;
     let directory = test.parent().and_then(Path::parent).context("no target directory")?;
     let path = directory.join(name);
-    // Cargo builds the programs of other packages for no test.
+    // Cargo does not build the programs of other packages for a test.
     ensure!(path.exists(), "{} is not built: run `cargo build --workspace --bins`", path.display());
     Ok(path)
 }
@@ -146,14 +151,14 @@
             return Ok(serde_json::from_str(&line)?);
         }
     }
-    bail!("ended before it was ready");
+    bail!("the process exited before it was ready");
 }
 
 fn all_threads_stopped(pid: u32) -> anyhow::Result<bool> {
     for task in fs::read_dir(format!("/proc/{pid}/task"))? {
-        // A thread may have ended since the folder was read.
+        // A thread may have ended since the directory was read.
         let Ok(stat) = fs::read_to_string(task?.path().join("stat")) else { continue };
-        // The name in brackets may hold anything; the state follows it.
+        // The thread name in parentheses may contain any character; the state follows it.
         let state = stat.rsplit_once(')').and_then(|(_, rest)| rest.split_whitespace().next());
         if state != Some(STOPPED) {
             return Ok(false);
--- a/tests/src/relay.rs
+++ b/tests/src/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that cuts, holds or delays what goes through it.
+//! A TCP relay that cuts, holds or delays the connections through it.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -13,24 +13,24 @@
 
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Faults of every connection through one relay, now and later.
+/// Faults that apply to every current and later connection through one relay.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RelayFaults {
-    /// Nothing reaches the server, though connections stay open.
+    /// Holds back all data to the server while connections stay open.
     pub hold_to_server: bool,
-    /// Nothing reaches the client, though connections stay open.
+    /// Holds back all data to the client while connections stay open.
     pub hold_to_client: bool,
-    /// New connections are closed at once and open ones are cut.
+    /// Closes new connections at once and cuts open ones.
     pub refuse: bool,
-    /// Time that each piece of data takes in each direction.
+    /// Delay added to each chunk of data, in each direction.
     pub delay: Duration,
-    /// Each connection is cut after this many bytes to the server.
+    /// Cuts each connection after this many bytes to the server.
     pub cut_to_server_at_bytes: Option<u64>,
-    /// Each connection is cut after this many bytes to the client.
+    /// Cuts each connection after this many bytes to the client.
     pub cut_to_client_at_bytes: Option<u64>,
 }
 
-/// One direction between two entries.
+/// One direction of the link between two entries.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Direction {
     from: VmId,
@@ -43,10 +43,10 @@
     cut: BTreeSet<Direction>,
 }
 
-/// Cuts between entries, shared by the relays before them.
+/// Cut links between entries, shared by the relays in front of them.
 ///
-/// A relay learns which entry opened a connection from the first bytes, in which an entry names
-/// itself in plain text.
+/// A relay identifies the entry that opened a connection by its VM id, which is sent in plain text
+/// in the first bytes.
 #[derive(Debug, Clone)]
 pub struct Links {
     cuts: Arc<Mutex<Cuts>>,
@@ -60,12 +60,12 @@
 }
 
 impl Links {
-    /// Starts without cuts.
+    /// Returns links without cuts.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Cuts one direction.
+    /// Cuts the direction from `from` to `to`.
     pub fn cut(&self, from: &VmId, to: &VmId) {
         let direction = Direction { from: from.clone(), to: to.clone() };
         self.change(|cuts| {
@@ -73,18 +73,18 @@
         });
     }
 
-    /// Cuts both directions.
+    /// Cuts both directions between two entries.
     pub fn cut_both(&self, one: &VmId, other: &VmId) {
         self.cut(one, other);
         self.cut(other, one);
     }
 
-    /// Lifts every cut.
+    /// Removes every cut.
     pub fn heal(&self) {
         self.change(|cuts| cuts.cut.clear());
     }
 
-    /// Makes an entry known, so that its connections are recognised.
+    /// Registers an entry, so that relays recognise its connections.
     pub fn add_entry(&self, vm: &VmId) {
         self.change(|cuts| {
             if !cuts.known.contains(vm) {
@@ -102,17 +102,17 @@
         self.cuts.lock().unwrap_or_else(PoisonError::into_inner).cut.contains(direction)
     }
 
-    /// The entry other than `owner` that is named in the first bytes of a connection.
+    /// Returns the entry other than `owner` whose VM id the first bytes of a connection contain.
     fn opener(&self, owner: &VmId, first: &[u8]) -> Option<VmId> {
         let cuts = self.cuts.lock().unwrap_or_else(PoisonError::into_inner);
         let mut others: Vec<&VmId> = cuts.known.iter().filter(|vm| *vm != owner).collect();
-        // The longest name first, since `entry-1` is also part of `entry-10`.
+        // Longest id first, since `entry-1` is also a prefix of `entry-10`.
         others.sort_by_key(|vm| std::cmp::Reverse(vm.as_str().len()));
-        let named = |vm: &&&VmId| {
+        let is_contained = |vm: &&&VmId| {
             let name = vm.as_str().as_bytes();
             first.windows(name.len()).any(|window| window == name)
         };
-        others.iter().find(named).map(|vm| (**vm).clone())
+        others.iter().find(is_contained).map(|vm| (**vm).clone())
     }
 }
 
@@ -128,7 +128,7 @@
     faults: RelayFaults,
 }
 
-/// A relay before one server.
+/// A relay in front of one server.
 #[derive(Debug)]
 pub struct Relay {
     address: Endpoint,
@@ -139,15 +139,15 @@
     /// Starts a relay to `upstream` on a loopback port that the kernel chooses.
     ///
     /// # Errors
-    /// When the port can't be bound.
+    /// Returns an error if the port can't be bound.
     pub async fn start(upstream: Endpoint) -> io::Result<Self> {
         Self::start_with(upstream, None).await
     }
 
-    /// Starts a relay before the peers' port of an entry, ruled by the cuts of `links` too.
+    /// Starts a relay in front of the peer port of an entry; cuts in `links` apply to it too.
     ///
     /// # Errors
-    /// When the port can't be bound.
+    /// Returns an error if the port can't be bound.
     pub async fn start_between(upstream: Endpoint, vm: &VmId, links: Links) -> io::Result<Self> {
         links.add_entry(vm);
         Self::start_with(upstream, Some(Owner { vm: vm.clone(), links })).await
@@ -161,23 +161,23 @@
         Ok(Self { address, route })
     }
 
-    /// Where clients connect.
+    /// Returns the address that clients connect to.
     pub fn address(&self) -> Endpoint {
         self.address
     }
 
-    /// Replaces every fault.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: RelayFaults) {
         self.route.send_modify(|route| route.faults = faults);
     }
 
-    /// Relays new connections to another server, as after a restart.
+    /// Relays new connections to another server, as after a restart of the server.
     pub fn set_upstream(&self, upstream: Endpoint) {
         self.route.send_modify(|route| route.upstream = upstream);
     }
 }
 
-/// Ends when the relay is dropped, with all its connections.
+/// Accepts connections until the relay is dropped, which closes its connections too.
 async fn accept_all(
     listener: TcpListener,
     mut route: watch::Receiver<Route>,
@@ -197,13 +197,13 @@
     }
 }
 
-/// One direction of one connection.
+/// Copies one direction of one connection.
 struct Pump {
     route: watch::Receiver<Route>,
     to_server: bool,
     owner: Option<Owner>,
     opener: watch::Sender<Option<VmId>>,
-    moved_bytes: u64,
+    relayed_bytes: u64,
 }
 
 async fn relay(client: TcpStream, route: watch::Receiver<Route>, owner: Option<Owner>) {
@@ -214,7 +214,7 @@
     let Ok(server) = TcpStream::connect(upstream.address()).await else {
         return;
     };
-    // Delay belongs to the faults, not to the kernel's gathering of small pieces.
+    // Disables Nagle's algorithm, so that only `RelayFaults::delay` delays data.
     let _ = client.set_nodelay(true);
     let _ = server.set_nodelay(true);
     let (from_client, to_client) = client.into_split();
@@ -225,7 +225,7 @@
         to_server,
         owner: owner.clone(),
         opener: opener.clone(),
-        moved_bytes: 0,
+        relayed_bytes: 0,
     };
     let both = async {
         tokio::try_join!(
@@ -235,12 +235,12 @@
     };
     tokio::select! {
         _ = both => {}
-        () = refused(route.clone()) => {}
+        () = wait_refused(route.clone()) => {}
     }
 }
 
-async fn refused(mut route: watch::Receiver<Route>) {
-    // An error means that the relay is gone, which ends its connections too.
+async fn wait_refused(mut route: watch::Receiver<Route>) {
+    // An error means that the relay was dropped, which closes its connections too.
     let _ = route.wait_for(|route| route.faults.refuse).await;
 }
 
@@ -250,25 +250,25 @@
         loop {
             let count = from.read(&mut buffer).await?;
             if count == 0 {
-                self.wait_open().await;
+                self.wait_released().await;
                 return to.shutdown().await;
             }
-            self.learn_opener(&buffer[..count]);
+            self.identify_opener(&buffer[..count]);
             let delay = self.route.borrow().faults.delay;
             if !delay.is_zero() {
                 tokio::time::sleep(delay).await;
             }
-            self.wait_open().await;
+            self.wait_released().await;
             let allowed = self.allowed(count);
             to.write_all(&buffer[..allowed]).await?;
-            self.moved_bytes += allowed as u64;
+            self.relayed_bytes += allowed as u64;
             if allowed < count {
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
         }
     }
 
-    fn learn_opener(&self, first: &[u8]) {
+    fn identify_opener(&self, first: &[u8]) {
         let Some(owner) = &self.owner else {
             return;
         };
@@ -287,12 +287,12 @@
         let Some(limit) = limit else {
             return count;
         };
-        let left = limit.saturating_sub(self.moved_bytes);
+        let left = limit.saturating_sub(self.relayed_bytes);
         count.min(usize::try_from(left).unwrap_or(usize::MAX))
     }
 
-    /// Waits while this direction is held.
-    async fn wait_open(&mut self) {
+    /// Waits while this direction is held or cut.
+    async fn wait_released(&mut self) {
         let mut links = self.owner.as_ref().map(|owner| owner.links.changed.subscribe());
         while self.is_held() {
             let links_changed = async {
@@ -301,11 +301,11 @@
                     None => std::future::pending().await,
                 }
             };
-            let alive = tokio::select! {
+            let is_relay_running = tokio::select! {
                 changed = self.route.changed() => changed.is_ok(),
                 changed = links_changed => changed,
             };
-            if !alive {
+            if !is_relay_running {
                 return;
             }
         }
--- a/tests/src/running.rs
+++ b/tests/src/running.rs
@@ -1,4 +1,4 @@
-//! A running system and what a test does to it.
+//! A running system, with operations on its processes and published lists.
 
 use std::net::Ipv4Addr;
 use std::path::PathBuf;
@@ -16,29 +16,29 @@
 use crate::relay::{Links, Relay};
 use crate::scratch::Scratch;
 use crate::settings::EntrySettings;
-use crate::target::{Target, TargetPlan};
+use crate::target::{Target, TargetConfig};
 use crate::wait::wait_until;
 
-/// Key that the entries of a test share, in hexadecimal.
+/// Peer key shared by the entries of a test, in hexadecimal.
 const PEER_KEY: &str = "6f1a0c52d3b94e87a5c6607f18e2bb3d94c0715ae86f2d4b3c9051e7a8f6d240\n";
 const HTTP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Every process of a case.
+/// A running system with all its processes.
 #[derive(Debug)]
 pub struct Running {
     /// The platform stand-in.
     pub platform: Platform,
-    /// Targets, service by service.
+    /// Targets, grouped by service.
     pub targets: Vec<Target>,
-    /// Entries in the order in which they were started.
+    /// Entries in the order of their start.
     pub entries: Vec<Entry>,
-    /// Cuts between entries, in a case with relays before them.
+    /// Links between entries, in a case with peer relays.
     pub links: Links,
     case: Case,
     key_file: PathBuf,
     http: reqwest::Client,
     started: usize,
-    // Dropped last, after every process that uses it.
+    // The last field, so that it is dropped after the processes that use the directory.
     scratch: Scratch,
 }
 
@@ -74,31 +74,32 @@
         let mut starting = Vec::new();
         for group in &self.case.groups {
             for number in 0..group.targets {
-                let plan = TargetPlan {
+                let config = TargetConfig {
                     id: TargetId::new(&format!("{}-{number}", group.service))?,
                     service: group.service.parse()?,
                     failure_domain: self.case.domain(number)?,
                     args: self.case.target_args.clone(),
                     has_relay: self.case.has_target_relays,
                 };
-                starting.push(Target::start(plan, self.scratch.path(), self.http.clone()));
+                starting.push(Target::start(config, self.scratch.path(), self.http.clone()));
             }
         }
         self.targets = try_join_all(starting).await?;
         Ok(())
     }
 
-    /// Starts one more entry; it is known to others once the VM list is published again.
+    /// Starts one more entry and returns its index. The others learn of it once the VM list is
+    /// published again.
     ///
     /// # Errors
-    /// When the process can't be started.
+    /// Returns an error if the process can't be started.
     pub async fn start_entry(&mut self) -> anyhow::Result<usize> {
         let number = self.started;
         let vm = VmId::new(&format!("entry-{number}"))?;
         let mut settings = self.settings_of(&vm, number)?;
         let relay = self.peer_relay(&vm).await?;
         if let Some(relay) = &relay {
-            // Peers learn addresses from heartbeats too, so the entry must give the relay's.
+            // Heartbeats carry the peer address too, so the entry must advertise that of the relay.
             settings = settings.with("peers", "advertise", &relay.address().to_string());
         }
         let mut entry = self.spawn_entry(&vm, number, settings).await?;
@@ -111,20 +112,20 @@
         Ok(self.entries.len() - 1)
     }
 
-    /// A relay whose upstream is not known yet, in a case with relays before entries.
+    /// Starts a relay whose upstream is not known yet, in a case with peer relays.
     async fn peer_relay(&self, vm: &VmId) -> anyhow::Result<Option<Relay>> {
         if !self.case.has_peer_relays {
             return Ok(None);
         }
-        let nowhere = Endpoint::new((Ipv4Addr::LOCALHOST, 0).into());
-        Ok(Some(Relay::start_between(nowhere, vm, self.links.clone()).await?))
+        let unset_upstream = Endpoint::new((Ipv4Addr::LOCALHOST, 0).into());
+        Ok(Some(Relay::start_between(unset_upstream, vm, self.links.clone()).await?))
     }
 
-    /// Starts an entry that has ended again, on the same VM with other ports and no memory, and
-    /// publishes its new ports.
+    /// Restarts an entry that has ended, on the same VM with other ports and without its former
+    /// state, and publishes the new ports.
     ///
     /// # Errors
-    /// When the process can't be started or the list not be published.
+    /// Returns an error if the process can't be started or the VM list can't be published.
     pub async fn restart_entry(&mut self, index: usize) -> anyhow::Result<()> {
         let old = &self.entries[index];
         let vm = old.vm.clone();
@@ -140,11 +141,11 @@
         self.publish_vms().await
     }
 
-    /// Takes an entry out of this system and of the published VM list, as the platform does some
-    /// time after its process has ended.
+    /// Removes an entry from this system and from the published VM list, as the platform does some
+    /// time after the process has ended.
     ///
     /// # Errors
-    /// When the list can't be published.
+    /// Returns an error if the VM list can't be published.
     pub async fn remove_entry(&mut self, index: usize) -> anyhow::Result<Entry> {
         let entry = self.entries.remove(index);
         self.publish_vms().await?;
@@ -165,7 +166,7 @@
         let mut platform = self.platform.replicas.clone();
         let shift = number % platform.len().max(1);
         platform.rotate_left(shift);
-        if self.case.knows_one_replica {
+        if self.case.has_own_replica {
             platform.truncate(1);
         }
         let domain = self.case.domain(number)?;
@@ -180,10 +181,10 @@
         Ok(settings)
     }
 
-    /// Publishes targets, the VM list and at last the rules, with which an entry is ready.
+    /// Publishes the targets, the VM list and, last, the rules, which make an entry ready.
     ///
     /// # Errors
-    /// When the platform does not take them.
+    /// Returns an error if the platform rejects a list or does not answer.
     pub async fn publish_all(&self) -> anyhow::Result<()> {
         for service in self.case.services()? {
             self.publish_targets(&service).await?;
@@ -195,7 +196,7 @@
     /// Publishes the VM list with every entry of this system.
     ///
     /// # Errors
-    /// When the platform does not take it.
+    /// Returns an error if the platform rejects the list or does not answer.
     pub async fn publish_vms(&self) -> anyhow::Result<()> {
         let vms: Vec<_> = self.entries.iter().map(Entry::published).collect();
         self.platform.publish_vms(&vms).await
@@ -204,17 +205,17 @@
     /// Publishes the targets of one service.
     ///
     /// # Errors
-    /// When the platform does not take them.
+    /// Returns an error if the platform rejects the list or does not answer.
     pub async fn publish_targets(&self, service: &ServiceName) -> anyhow::Result<()> {
         let of_service = self.targets.iter().filter(|target| target.service == *service);
         let targets: Vec<_> = of_service.map(Target::published).collect();
         self.platform.publish_targets(service, &targets).await
     }
 
-    /// Waits until every entry whose process runs serves and knows every other one as live.
+    /// Waits until every entry with a running process is ready and reports all the others as live.
     ///
     /// # Errors
-    /// When one is not ready in time.
+    /// Returns an error if one is not ready in time.
     pub async fn wait_ready(&mut self) -> anyhow::Result<()> {
         let mut running = Vec::new();
         for (index, entry) in self.entries.iter_mut().enumerate() {
@@ -224,62 +225,62 @@
         }
         for index in &running {
             let entry = &self.entries[*index];
-            let what = format!("{} serves", entry.vm);
+            let what = format!("{} is ready", entry.vm);
             wait_until(&what, async || entry.is_ready().await).await?;
         }
         for index in &running {
             let entry = &self.entries[*index];
             let others: Vec<&VmId> = running.iter().map(|other| &self.entries[*other].vm).collect();
-            let what = format!("{} knows the other entries", entry.vm);
-            wait_until(&what, async || entry.knows_live(&others).await).await?;
+            let what = format!("{} reports the other entries as live", entry.vm);
+            wait_until(&what, async || entry.reports_live(&others).await).await?;
         }
         Ok(())
     }
 
-    /// Where callers connect, of every entry.
+    /// Returns the caller address of every entry.
     pub fn caller_addresses(&self) -> Vec<Endpoint> {
         self.entries.iter().map(|entry| entry.ready.callers).collect()
     }
 
-    /// A caller that knows every entry.
+    /// Returns a caller that knows every entry.
     ///
     /// # Errors
-    /// When its HTTP client can't be built.
+    /// Returns an error if its HTTP client can't be built.
     pub fn caller(&self) -> anyhow::Result<Caller> {
         Ok(Caller::new(CallerConfig::new(self.caller_addresses()))?)
     }
 
-    /// The entry that takes callers at `address`.
+    /// Returns the index of the entry whose caller address is `address`.
     ///
     /// # Errors
-    /// When there is none.
+    /// Returns an error if there is no such entry.
     pub fn entry_at(&self, address: Endpoint) -> anyhow::Result<usize> {
         let at = self.entries.iter().position(|entry| entry.ready.callers == address);
         at.with_context(|| format!("no entry at {address}"))
     }
 
-    /// Runs under `key` at all targets together.
+    /// Returns how often requests with idempotency key `key` have run, summed over all targets.
     ///
     /// # Errors
-    /// When a target does not tell.
+    /// Returns an error if the records of a target can't be read.
     pub async fn runs_of_key(&self, key: &str) -> anyhow::Result<u64> {
         let records = self.records().await?;
         Ok(records.iter().map(|records| records.runs_of_key(key)).sum())
     }
 
-    /// Runs with `mark` at all targets together.
+    /// Returns how often requests with `mark` have run, summed over all targets.
     ///
     /// # Errors
-    /// When a target does not tell.
+    /// Returns an error if the records of a target can't be read.
     pub async fn runs_of_mark(&self, mark: &str) -> anyhow::Result<u64> {
         let records = self.records().await?;
         Ok(records.iter().map(|records| records.runs_of_mark(mark)).sum())
     }
 
-    /// The records of every target.
+    /// Reads the records of every target.
     ///
     /// # Errors
-    /// When a target does not tell.
+    /// Returns an error if the records of a target can't be read.
     pub async fn records(&self) -> anyhow::Result<Vec<TargetRecords>> {
         try_join_all(self.targets.iter().map(Target::records)).await
     }
--- a/tests/src/settings.rs
+++ b/tests/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files of entries.
+//! Settings file of an entry.
 
 use std::fmt;
 use std::path::Path;
@@ -12,14 +12,14 @@
     value: String,
 }
 
-/// Settings of one entry, kept in the order in which they were given.
+/// Settings of one entry, in insertion order.
 #[derive(Debug, Clone)]
 pub struct EntrySettings {
     settings: Vec<Setting>,
 }
 
 impl EntrySettings {
-    /// Settings of an entry on loopback ports that the kernel chooses.
+    /// Returns settings of an entry on loopback ports that the kernel chooses.
     pub fn new(vm: &VmId, domain: &FailureDomain, platform: &[Endpoint], key_file: &Path) -> Self {
         let platform: Vec<String> = platform.iter().map(ToString::to_string).collect();
         Self { settings: Vec::new() }
@@ -32,11 +32,11 @@
             .with("platform", "address", &platform.join(", "))
     }
 
-    /// Sets a key, in place of an earlier value.
+    /// Sets a key, replacing an earlier value.
     #[must_use]
     pub fn with(mut self, section: &str, key: &str, value: &str) -> Self {
-        let same = |setting: &&mut Setting| setting.section == section && setting.key == key;
-        if let Some(setting) = self.settings.iter_mut().find(same) {
+        let has_key = |setting: &&mut Setting| setting.section == section && setting.key == key;
+        if let Some(setting) = self.settings.iter_mut().find(has_key) {
             setting.value = value.to_owned();
             return self;
         }
--- a/tests/src/target.rs
+++ b/tests/src/target.rs
@@ -1,4 +1,4 @@
-//! A target stand-in as a process.
+//! A target stand-in, run as a process.
 
 use std::path::Path;
 
@@ -19,25 +19,25 @@
 pub struct Target {
     /// The process.
     pub program: Program,
-    /// The target's name.
+    /// Id of the target.
     pub id: TargetId,
-    /// The service that it answers for.
+    /// Service of the target.
     pub service: ServiceName,
-    /// Where it stands.
+    /// Failure domain of the target.
     pub failure_domain: FailureDomain,
-    /// Where it takes requests itself.
+    /// Address of the target itself, behind its relay if it has one.
     pub address: Endpoint,
-    /// What stands between entries and target, when the case asks for it.
+    /// Relay between entries and the target, in a case with target relays.
     pub relay: Option<Relay>,
-    /// Whether the platform says that it is draining.
+    /// Whether the target list publishes the target as draining.
     pub published_draining: bool,
     control: Endpoint,
     http: reqwest::Client,
 }
 
-/// What is needed to start a target.
+/// Parameters for starting a target.
 #[derive(Debug)]
-pub(crate) struct TargetPlan {
+pub(crate) struct TargetConfig {
     pub id: TargetId,
     pub service: ServiceName,
     pub failure_domain: FailureDomain,
@@ -47,23 +47,23 @@
 
 impl Target {
     pub(crate) async fn start(
-        plan: TargetPlan,
+        config: TargetConfig,
         directory: &Path,
         http: reqwest::Client,
     ) -> anyhow::Result<Self> {
-        let mut args = vec!["target".to_owned(), "--id".to_owned(), plan.id.to_string()];
-        args.extend(plan.args);
-        let log = directory.join(format!("{}.log", plan.id));
+        let mut args = vec!["target".to_owned(), "--id".to_owned(), config.id.to_string()];
+        args.extend(config.args);
+        let log = directory.join(format!("{}.log", config.id));
         let (program, ready) = Program::start::<Ready>("shallotfork-standin", &args, &log).await?;
-        let relay = match plan.has_relay {
+        let relay = match config.has_relay {
             true => Some(Relay::start(ready.address).await?),
             false => None,
         };
         Ok(Self {
             program,
-            id: plan.id,
-            service: plan.service,
-            failure_domain: plan.failure_domain,
+            id: config.id,
+            service: config.service,
+            failure_domain: config.failure_domain,
             address: ready.address,
             relay,
             published_draining: false,
@@ -72,29 +72,29 @@
         })
     }
 
-    /// What the target saw and did.
+    /// Reads what the target has recorded about its requests and connections.
     ///
     /// # Errors
-    /// When its control port does not answer.
+    /// Returns an error if its control port does not answer.
     pub async fn records(&self) -> anyhow::Result<TargetRecords> {
         let url = format!("http://{}/records", self.control);
         Ok(self.http.get(url).send().await?.error_for_status()?.json().await?)
     }
 
-    /// Forgets what was recorded.
+    /// Clears the records of the target.
     ///
     /// # Errors
-    /// When its control port does not answer.
+    /// Returns an error if its control port does not answer.
     pub async fn reset_records(&self) -> anyhow::Result<()> {
         let url = format!("http://{}/records/reset", self.control);
         self.http.post(url).send().await?.error_for_status()?;
         Ok(())
     }
 
-    /// Replaces every fault.
+    /// Replaces all faults.
     ///
     /// # Errors
-    /// When its control port does not answer.
+    /// Returns an error if its control port does not answer.
     pub async fn set_faults(&self, faults: TargetFaults) -> anyhow::Result<()> {
         let url = format!("http://{}/faults", self.control);
         self.http.put(url).json(&faults).send().await?.error_for_status()?;
--- a/tests/src/traffic.rs
+++ b/tests/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Callers at work in the background, and what became of their requests.
+//! Background traffic of callers, with the outcome of their requests.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,35 +10,35 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Who asks what.
+/// Configuration of background traffic.
 #[derive(Debug, Clone)]
 pub struct TrafficConfig {
-    /// How each caller behaves.
+    /// Configuration of each caller.
     pub caller: CallerConfig,
-    /// Service of the reads; no reads when absent.
+    /// Service that reads go to; `None` for no reads.
     pub reads: Option<ServiceName>,
-    /// Service of the orders; no orders when absent.
+    /// Service that orders go to; `None` for no orders.
     pub orders: Option<ServiceName>,
-    /// Callers of each kind; each sends one request after the other.
+    /// Number of callers of each kind. Each one sends its requests sequentially.
     pub callers: usize,
-    /// Size of the filler in answers.
+    /// Size of the filler in answers to reads, in bytes.
     pub size_bytes: usize,
 }
 
 impl TrafficConfig {
-    /// Two callers of each kind without any service yet.
+    /// Returns a configuration with two callers of each kind and no service.
     pub fn new(caller: CallerConfig) -> Self {
         Self { caller, reads: None, orders: None, callers: 2, size_bytes: 2000 }
     }
 
-    /// Reads from `service`.
+    /// Adds reads from `service`.
     #[must_use]
     pub fn with_reads(mut self, service: &ServiceName) -> Self {
         self.reads = Some(service.clone());
         self
     }
 
-    /// Lodges orders with `service`, each under a key of its own.
+    /// Adds orders to `service`, each with its own idempotency key.
     #[must_use]
     pub fn with_orders(mut self, service: &ServiceName) -> Self {
         self.orders = Some(service.clone());
@@ -46,40 +46,40 @@
     }
 }
 
-/// One order's end, as its caller knows it.
+/// Outcome of one order as seen by its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OrderEnd {
-    /// The order's key, which is also its mark.
+pub struct OrderOutcome {
+    /// Idempotency key of the order, which is also its mark.
     pub key: String,
-    /// Whether a success came.
+    /// Whether the caller received a success.
     pub succeeded: bool,
-    /// The last verdict told.
+    /// Last verdict that the caller received.
     pub verdict: Option<Verdict>,
-    /// The sends, for messages.
+    /// Debug text of the caller's attempts, or its error, for messages.
     pub attempts: String,
 }
 
-/// What became of all requests.
+/// Outcomes of all requests.
 #[derive(Debug, Clone, Default)]
 pub struct TrafficReport {
-    /// Reads that ended with a whole answer of their own.
+    /// Reads that ended with a complete answer that belongs to them.
     pub reads: u64,
-    /// Reads that ended otherwise.
+    /// Descriptions of the reads that failed.
     pub failed_reads: Vec<String>,
-    /// Answers that were not whole or not the request's own.
+    /// Answers that were incomplete or belong to another request.
     pub wrong_answers: Vec<String>,
-    /// Orders.
-    pub orders: Vec<OrderEnd>,
+    /// Outcomes of the orders.
+    pub orders: Vec<OrderOutcome>,
 }
 
 impl TrafficReport {
-    /// Orders without a success.
-    pub fn failed_orders(&self) -> Vec<&OrderEnd> {
+    /// Returns the orders without a success.
+    pub fn failed_orders(&self) -> Vec<&OrderOutcome> {
         self.orders.iter().filter(|order| !order.succeeded).collect()
     }
 }
 
-/// Callers at work until they are told to stop.
+/// Callers that send requests until [`Traffic::stop`].
 #[derive(Debug)]
 pub struct Traffic {
     stop: watch::Sender<bool>,
@@ -101,7 +101,7 @@
     /// Starts every caller.
     ///
     /// # Errors
-    /// When an HTTP client can't be built.
+    /// Returns an error if an HTTP client can't be built.
     pub fn start(config: &TrafficConfig) -> anyhow::Result<Self> {
         let (stop, stopped) = watch::channel(false);
         let done = Arc::new(AtomicU64::new(0));
@@ -117,33 +117,33 @@
             };
             if let Some(service) = &config.reads {
                 let caller = Caller::new(config.caller.clone())?;
-                workers.spawn(worker("read").read_all(caller, service.clone()));
+                workers.spawn(worker("read").send_reads(caller, service.clone()));
             }
             if let Some(service) = &config.orders {
                 let caller = Caller::new(config.caller.clone())?;
-                workers.spawn(worker("order").order_all(caller, service.clone()));
+                workers.spawn(worker("order").send_orders(caller, service.clone()));
             }
         }
         Ok(Self { stop, done, whole_reads, workers })
     }
 
-    /// Requests that have ended so far.
+    /// Returns the number of requests that have ended so far.
     pub fn done(&self) -> u64 {
         self.done.load(Ordering::Relaxed)
     }
 
-    /// Reads that have ended so far with a whole answer of their own.
+    /// Returns the number of reads that have ended so far with a complete answer of their own.
     pub fn whole_reads(&self) -> u64 {
         self.whole_reads.load(Ordering::Relaxed)
     }
 
-    /// Lets every caller finish its request and gathers what became of all.
+    /// Lets every caller finish its request and returns the outcomes of all requests.
     pub async fn stop(mut self) -> TrafficReport {
         self.stop.send_replace(true);
         let mut total = TrafficReport::default();
         while let Some(report) = self.workers.join_next().await {
             let Ok(mut report) = report else {
-                total.failed_reads.push("a caller of the test itself failed".to_owned());
+                total.failed_reads.push("the task of a caller panicked".to_owned());
                 continue;
             };
             total.reads += report.reads;
@@ -156,7 +156,7 @@
 }
 
 impl Worker {
-    async fn read_all(self, caller: Caller, service: ServiceName) -> TrafficReport {
+    async fn send_reads(self, caller: Caller, service: ServiceName) -> TrafficReport {
         let mut total = TrafficReport::default();
         let mut number = 0;
         while !*self.stopped.borrow() {
@@ -166,7 +166,7 @@
                 .with_mark(&mark)
                 .with_header(SIZE_HEADER, &self.config.size_bytes.to_string());
             match caller.call(&call).await {
-                Ok(report) => note_read(&mut total, &mark, &report),
+                Ok(report) => record_read(&mut total, &mark, &report),
                 Err(error) => total.failed_reads.push(format!("{mark}: {error}")),
             }
             number += 1;
@@ -176,7 +176,7 @@
         total
     }
 
-    async fn order_all(self, caller: Caller, service: ServiceName) -> TrafficReport {
+    async fn send_orders(self, caller: Caller, service: ServiceName) -> TrafficReport {
         let mut total = TrafficReport::default();
         let mut number = 0;
         while !*self.stopped.borrow() {
@@ -188,8 +188,8 @@
             let body = Bytes::from_static(b"two drums of saltbush pepper");
             let call = Call::post(service.clone(), "/orders", key, body).with_mark(&name);
             match caller.call(&call).await {
-                Ok(report) => note_order(&mut total, name, &report),
-                Err(error) => total.orders.push(OrderEnd {
+                Ok(report) => record_order(&mut total, name, &report),
+                Err(error) => total.orders.push(OrderOutcome {
                     key: name,
                     succeeded: false,
                     verdict: None,
@@ -202,17 +202,17 @@
     }
 }
 
-fn note_read(total: &mut TrafficReport, mark: &str, report: &Report) {
-    note_wrong(total, mark, report);
+fn record_read(total: &mut TrafficReport, mark: &str, report: &Report) {
+    record_wrong_answer(total, mark, report);
     match report.success() {
         Some(_) => total.reads += 1,
         None => total.failed_reads.push(format!("{mark}: {:?}", report.attempts)),
     }
 }
 
-fn note_order(total: &mut TrafficReport, key: String, report: &Report) {
-    note_wrong(total, &key, report);
-    total.orders.push(OrderEnd {
+fn record_order(total: &mut TrafficReport, key: String, report: &Report) {
+    record_wrong_answer(total, &key, report);
+    total.orders.push(OrderOutcome {
         key,
         succeeded: report.success().is_some(),
         verdict: report.verdict(),
@@ -220,12 +220,12 @@
     });
 }
 
-fn note_wrong(total: &mut TrafficReport, mark: &str, report: &Report) {
+fn record_wrong_answer(total: &mut TrafficReport, mark: &str, report: &Report) {
     let Some(answer) = report.success() else {
         return;
     };
-    let own = answer.mark.as_deref() == Some(mark);
-    if !own || answer.digest_holds != Some(true) {
+    let is_own = answer.mark.as_deref() == Some(mark);
+    if !is_own || answer.digest_holds != Some(true) {
         total.wrong_answers.push(format!("{mark}: got {:?}", answer.mark));
     }
 }
--- a/tests/src/wait.rs
+++ b/tests/src/wait.rs
@@ -1,27 +1,28 @@
-//! Waiting on conditions in place of sleeping.
+//! Waiting for a condition instead of sleeping.
 
 use std::time::{Duration, Instant};
 
 use anyhow::bail;
 
-/// Generous, since a busy machine must not fail a test that only takes longer.
-const LIMIT: Duration = Duration::from_secs(30);
-const INTERVAL: Duration = Duration::from_millis(20);
+/// Time allowed for a condition; generous, so that a test that is only slow does not fail on a busy
+/// machine.
+const TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Waits until `condition` holds.
 ///
 /// # Errors
-/// When it still does not hold after half a minute.
+/// Returns an error if it does not hold within 30 s.
 pub async fn wait_until(
     what: &str,
     mut condition: impl AsyncFnMut() -> bool,
 ) -> anyhow::Result<()> {
-    let begin = Instant::now();
+    let started_at = Instant::now();
     while !condition().await {
-        if begin.elapsed() > LIMIT {
-            bail!("waited {LIMIT:?} in vain until {what}");
+        if started_at.elapsed() > TIMEOUT {
+            bail!("condition not met within {TIMEOUT:?}: {what}");
         }
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
