--- a/tests/tests/at_most_once_share.rs
+++ b/tests/tests/at_most_once_share.rs
@@ -1,5 +1,5 @@
-//! Orders under load while a fault comes and goes: none runs twice, each verdict is true, and the
-//! share that ends as may-have-run is printed for each fault.
+//! Orders under load during a temporary fault: none runs twice and every verdict is true. Prints
+//! for each fault how many orders end as `may-have-run`.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
 
 const CALLERS: usize = 6;
 const FAULTY: usize = 0;
-const ALSO_FAULTY: usize = 1;
+const OTHER_FAULTY: usize = 1;
 
-/// Orders that have to end before the fault, and again after it.
+/// Number of orders that end before the fault is injected, and again after it.
 const ORDERS: u64 = 150;
 
-/// Longer than the silence after which an entry is suspected.
+/// Duration of a fault; longer than the silence after which an entry is suspected.
 const PAUSE: Duration = Duration::from_secs(2);
 
-struct Shift {
+struct LoadTest {
     running: Running,
     traffic: Traffic,
 }
 
-impl Shift {
+impl LoadTest {
     async fn start(case: Case) -> anyhow::Result<Self> {
         let case = case
             .with_entries(3)
@@ -37,183 +37,188 @@
             .with_timeout(Duration::from_secs(3));
         let mut config = TrafficConfig::new(caller).with_orders(&service);
         config.callers = CALLERS;
-        let shift = Self { running, traffic: Traffic::start(&config)? };
-        shift.wait_orders().await?;
-        Ok(shift)
+        let load_test = Self { running, traffic: Traffic::start(&config)? };
+        load_test.wait_orders().await?;
+        Ok(load_test)
     }
 
-    /// Waits until that many more orders have ended.
+    /// Waits until `ORDERS` more orders have ended.
     async fn wait_orders(&self) -> anyhow::Result<()> {
         let goal = self.traffic.done() + ORDERS;
         wait_until("orders end", async || self.traffic.done() >= goal).await
     }
 
-    /// Lets orders go on after the fault, then checks and counts how all of them ended.
-    async fn end(self, fault: &str) -> anyhow::Result<Share> {
+    /// Lets orders continue after the fault, then checks and counts the outcomes of all of them.
+    async fn end(self, fault: &str) -> anyhow::Result<OutcomeCounts> {
         self.wait_orders().await?;
         let report = self.traffic.stop().await;
-        let share = check(&self.running, &report).await?;
-        println!("{fault}: {share:?}");
-        Ok(share)
+        let counts = check(&self.running, &report).await?;
+        println!("{fault}: {counts:?}");
+        Ok(counts)
     }
 }
 
-/// How orders ended, as their callers know it.
+/// Outcomes of orders as seen by their callers.
 #[derive(Debug, Default, PartialEq, Eq)]
-struct Share {
+struct OutcomeCounts {
     orders: usize,
     succeeded: usize,
     not_run: usize,
     may_have_run: usize,
     ran: usize,
-    /// No entry gave a whole answer to the last send.
+    /// Orders whose last attempt got no complete answer from an entry.
     unknown: usize,
 }
 
-async fn check(running: &Running, report: &TrafficReport) -> anyhow::Result<Share> {
+async fn check(running: &Running, report: &TrafficReport) -> anyhow::Result<OutcomeCounts> {
     let records = running.records().await?;
-    let mut share = Share { orders: report.orders.len(), ..Share::default() };
+    let mut counts = OutcomeCounts { orders: report.orders.len(), ..OutcomeCounts::default() };
     for order in &report.orders {
         let runs: u64 = records.iter().map(|records| records.runs_of_key(&order.key)).sum();
         assert!(runs <= 1, "{order:?} ran {runs} times");
         if order.succeeded {
             assert_eq!(1, runs, "{order:?}");
-            share.succeeded += 1;
+            counts.succeeded += 1;
             continue;
         }
         match order.verdict {
             Some(Verdict::NotRun) => {
                 assert_eq!(0, runs, "{order:?}");
-                share.not_run += 1;
+                counts.not_run += 1;
             }
             Some(Verdict::Ran) => {
                 assert_eq!(1, runs, "{order:?}");
-                share.ran += 1;
+                counts.ran += 1;
             }
-            Some(Verdict::MayHaveRun) => share.may_have_run += 1,
-            None => share.unknown += 1,
+            Some(Verdict::MayHaveRun) => counts.may_have_run += 1,
+            None => counts.unknown += 1,
         }
     }
     assert_eq!(Vec::<String>::new(), report.wrong_answers);
-    Ok(share)
+    Ok(counts)
 }
 
-/// An entry is killed in the middle of the morning's orders. Those under its sessions may end
-/// without anybody knowing, but none runs twice and "not run" stays true.
+/// Guards against second runs and false `not-run` verdicts when an entry is killed under load.
+/// Orders under its sessions may end as `may-have-run`.
 #[tokio::test]
 async fn orders_while_an_entry_is_killed() -> anyhow::Result<()> {
-    let mut shift = Shift::start(Case::new()).await?;
-    shift.running.entries[FAULTY].program.kill().await?;
-    shift.end("entry killed").await?;
+    let mut load_test = LoadTest::start(Case::new()).await?;
+    load_test.running.entries[FAULTY].program.kill().await?;
+    load_test.end("entry killed").await?;
     Ok(())
 }
 
-/// An entry is paused for longer than every timeout and wakes up believing old facts.
+/// Guards against stale state: an entry is paused for longer than every timeout and resumes with an
+/// outdated view.
 #[tokio::test]
 async fn orders_while_an_entry_is_paused() -> anyhow::Result<()> {
-    let shift = Shift::start(Case::new()).await?;
-    shift.running.entries[FAULTY].program.pause()?;
+    let load_test = LoadTest::start(Case::new()).await?;
+    load_test.running.entries[FAULTY].program.pause()?;
     tokio::time::sleep(PAUSE).await;
-    shift.running.entries[FAULTY].program.resume()?;
-    shift.end("entry paused for 2 s").await?;
+    load_test.running.entries[FAULTY].program.resume()?;
+    load_test.end("entry paused for 2 s").await?;
     Ok(())
 }
 
-/// An entry is cut off from its peers, while callers and targets still reach all of them.
+/// Guards against second runs while an entry is partitioned from its peers, but callers and targets
+/// still reach every entry.
 #[tokio::test]
 async fn orders_while_an_entry_is_cut_off() -> anyhow::Result<()> {
-    let shift = Shift::start(Case::new().with_peer_relays()).await?;
-    let vm = |entry: usize| &shift.running.entries[entry].vm;
-    shift.running.links.cut_both(vm(FAULTY), vm(1));
-    shift.running.links.cut_both(vm(FAULTY), vm(2));
+    let load_test = LoadTest::start(Case::new().with_peer_relays()).await?;
+    let vm = |entry: usize| &load_test.running.entries[entry].vm;
+    load_test.running.links.cut_both(vm(FAULTY), vm(1));
+    load_test.running.links.cut_both(vm(FAULTY), vm(2));
     tokio::time::sleep(PAUSE).await;
-    shift.running.links.heal();
-    shift.end("entry cut off from its peers for 2 s").await?;
+    load_test.running.links.heal();
+    load_test.end("entry cut off from its peers for 2 s").await?;
     Ok(())
 }
 
-/// An entry is stopped as planned. Nobody is left in doubt: no order ends as may-have-run.
+/// Guards against `may-have-run` verdicts after a planned stop of an entry.
 #[tokio::test]
 async fn orders_while_an_entry_is_stopped_as_planned() -> anyhow::Result<()> {
-    let mut shift = Shift::start(Case::new()).await?;
-    shift.running.entries[FAULTY].program.terminate()?;
-    shift.running.entries[FAULTY].program.wait_exit().await?;
-    let share = shift.end("planned stop").await?;
-    assert_eq!(share.orders, share.succeeded, "{share:?}");
+    let mut load_test = LoadTest::start(Case::new()).await?;
+    load_test.running.entries[FAULTY].program.terminate()?;
+    load_test.running.entries[FAULTY].program.wait_exit().await?;
+    let counts = load_test.end("planned stop").await?;
+    assert_eq!(counts.orders, counts.succeeded, "{counts:?}");
     Ok(())
 }
 
-/// Every entry is replaced, one after the other, as on any ordinary day. No order is left in
-/// doubt or doubled.
+/// Guards against `may-have-run` verdicts and second runs when all entries are replaced one after
+/// another, as in routine operation.
 #[tokio::test]
 async fn orders_while_all_entries_are_replaced() -> anyhow::Result<()> {
-    let mut shift = Shift::start(Case::new()).await?;
+    let mut load_test = LoadTest::start(Case::new()).await?;
     for _ in 0..3 {
-        shift.running.start_entry().await?;
-        shift.running.publish_vms().await?;
-        shift.running.wait_ready().await?;
-        shift.running.entries[FAULTY].program.terminate()?;
-        shift.running.entries[FAULTY].program.wait_exit().await?;
-        shift.running.remove_entry(FAULTY).await?;
+        load_test.running.start_entry().await?;
+        load_test.running.publish_vms().await?;
+        load_test.running.wait_ready().await?;
+        load_test.running.entries[FAULTY].program.terminate()?;
+        load_test.running.entries[FAULTY].program.wait_exit().await?;
+        load_test.running.remove_entry(FAULTY).await?;
     }
-    let share = shift.end("all entries replaced").await?;
-    assert_eq!(share.orders, share.succeeded, "{share:?}");
+    let counts = load_test.end("all entries replaced").await?;
+    assert_eq!(counts.orders, counts.succeeded, "{counts:?}");
     Ok(())
 }
 
-/// One entry is paused while another one loses its link to it: claims wait on both.
+/// Guards against second runs while one entry is paused and another is cut off from the third one,
+/// so that claims wait on both.
 #[tokio::test]
 async fn orders_while_one_entry_is_paused_and_another_cut_off() -> anyhow::Result<()> {
-    let shift = Shift::start(Case::new().with_peer_relays()).await?;
-    let vm = |entry: usize| &shift.running.entries[entry].vm;
-    shift.running.entries[FAULTY].program.pause()?;
-    shift.running.links.cut_both(vm(ALSO_FAULTY), vm(2));
+    let load_test = LoadTest::start(Case::new().with_peer_relays()).await?;
+    let vm = |entry: usize| &load_test.running.entries[entry].vm;
+    load_test.running.entries[FAULTY].program.pause()?;
+    load_test.running.links.cut_both(vm(OTHER_FAULTY), vm(2));
     tokio::time::sleep(PAUSE).await;
-    shift.running.entries[FAULTY].program.resume()?;
+    load_test.running.entries[FAULTY].program.resume()?;
     tokio::time::sleep(PAUSE / 2).await;
-    shift.running.links.heal();
-    shift.end("one entry paused, another cut off").await?;
+    load_test.running.links.heal();
+    load_test.end("one entry paused, another cut off").await?;
     Ok(())
 }
 
-/// One entry is killed while another one is paused, which wakes up believing that it lives.
+/// Guards against stale state: one entry is killed while another is paused, which resumes with a
+/// view in which the killed entry is live.
 #[tokio::test]
 async fn orders_while_one_entry_is_paused_and_another_killed() -> anyhow::Result<()> {
-    let mut shift = Shift::start(Case::new()).await?;
-    shift.running.entries[ALSO_FAULTY].program.pause()?;
-    shift.running.entries[FAULTY].program.kill().await?;
+    let mut load_test = LoadTest::start(Case::new()).await?;
+    load_test.running.entries[OTHER_FAULTY].program.pause()?;
+    load_test.running.entries[FAULTY].program.kill().await?;
     tokio::time::sleep(PAUSE).await;
-    shift.running.restart_entry(FAULTY).await?;
-    shift.running.entries[ALSO_FAULTY].program.resume()?;
-    shift.end("one entry killed and restarted, another paused").await?;
+    load_test.running.restart_entry(FAULTY).await?;
+    load_test.running.entries[OTHER_FAULTY].program.resume()?;
+    load_test.end("one entry killed and restarted, another paused").await?;
     Ok(())
 }
 
-/// An entry is stopped as planned while it is cut off from its peers: nobody takes its ledger, and
-/// ends of operations do not reach it.
+/// Guards against second runs when an entry is stopped as planned while partitioned from its peers:
+/// no peer takes its ledger, and reports that operations have ended do not reach it.
 #[tokio::test]
 async fn orders_while_an_entry_that_is_cut_off_is_stopped() -> anyhow::Result<()> {
     let case = Case::new().with_peer_relays().with_setting("leaving", "grace_max_ms", "1500");
-    let mut shift = Shift::start(case).await?;
-    let vm = |entry: usize| shift.running.entries[entry].vm.clone();
+    let mut load_test = LoadTest::start(case).await?;
+    let vm = |entry: usize| load_test.running.entries[entry].vm.clone();
     let (faulty, others) = (vm(FAULTY), [vm(1), vm(2)]);
     for other in &others {
-        shift.running.links.cut_both(&faulty, other);
+        load_test.running.links.cut_both(&faulty, other);
     }
-    shift.running.entries[FAULTY].program.terminate()?;
-    shift.running.entries[FAULTY].program.wait_exit().await?;
-    shift.running.links.heal();
-    shift.end("planned stop of an entry that is cut off").await?;
+    load_test.running.entries[FAULTY].program.terminate()?;
+    load_test.running.entries[FAULTY].program.wait_exit().await?;
+    load_test.running.links.heal();
+    load_test.end("planned stop of an entry that is cut off").await?;
     Ok(())
 }
 
-/// An entry is stopped as planned, and the one that may hold its ledger is killed meanwhile.
+/// Guards against second runs when an entry is stopped as planned and the peer that may hold its
+/// ledger is killed meanwhile.
 #[tokio::test]
 async fn orders_while_one_entry_is_stopped_and_another_killed() -> anyhow::Result<()> {
-    let mut shift = Shift::start(Case::new()).await?;
-    shift.running.entries[FAULTY].program.terminate()?;
-    shift.running.entries[ALSO_FAULTY].program.kill().await?;
-    shift.running.entries[FAULTY].program.wait_exit().await?;
-    shift.end("planned stop, another entry killed").await?;
+    let mut load_test = LoadTest::start(Case::new()).await?;
+    load_test.running.entries[FAULTY].program.terminate()?;
+    load_test.running.entries[OTHER_FAULTY].program.kill().await?;
+    load_test.running.entries[FAULTY].program.wait_exit().await?;
+    load_test.end("planned stop, another entry killed").await?;
     Ok(())
 }
