--- a/tests/tests/budget.rs
+++ b/tests/tests/budget.rs
@@ -1,4 +1,4 @@
-//! What measuring and connecting may cost targets, counted by the targets themselves.
+//! Budgets of probes and new connections, counted by the targets themselves.
 
 use std::time::Duration;
 
@@ -9,9 +9,10 @@
 use shallotfork_types::ServiceName;
 
 const SERVICE: &str = "register";
-/// One part in a hundred of two slots, at 6 ms a probe: 3.3 probes a second of the whole fleet.
+/// Probes per second to one target from the whole fleet: one hundredth of two slots at 6 ms a
+/// probe, which is 3.3 probes a second.
 const PROBES_A_SECOND: u64 = 3;
-/// New connections of the whole fleet to one target in a second.
+/// New connections per second to one target from the whole fleet.
 const CONNECTIONS_A_SECOND: u64 = 12;
 
 fn case() -> Case {
@@ -27,8 +28,8 @@
     Ok(SERVICE.parse()?)
 }
 
-/// Lets every entry hear of every target: probes begin with the first answer.
-async fn touch_all(running: &Running) -> anyhow::Result<()> {
+/// Sends requests through every entry, since an entry starts probing a target at its first answer.
+async fn send_through_all_entries(running: &Running) -> anyhow::Result<()> {
     let caller = running.caller()?;
     let call = Call::get(service()?, "/card").with_header(SERVICE_US_HEADER, "30000");
     for address in running.caller_addresses() {
@@ -47,13 +48,13 @@
     .await
 }
 
-/// Stallholders wait behind probes: entries are restarted, paused, cut from the platform and told
-/// of different VM lists, and each probes by its own clock and view. The target counts the probes
-/// in every window of a second.
+/// Guards against probes that delay requests: entries are restarted, paused and disconnected from
+/// the platform, receive different VM lists, and each probes by its own clock and view. Targets
+/// count the probes in every window of a second.
 #[tokio::test]
-async fn probes_keep_the_budget_whatever_happens_to_entries() -> anyhow::Result<()> {
+async fn probe_budget_holds_under_entry_faults() -> anyhow::Result<()> {
     let mut running = case().start().await?;
-    touch_all(&running).await?;
+    send_through_all_entries(&running).await?;
     wait_for_probes(&running, 3).await?;
 
     running.entries[0].program.kill().await?;
@@ -62,7 +63,7 @@
     running.platform.set_mode(ReplicaMode::Down).await?;
     wait_for_probes(&running, 2).await?;
     running.entries[1].program.resume()?;
-    touch_all(&running).await?;
+    send_through_all_entries(&running).await?;
     wait_for_probes(&running, 4).await?;
 
     for (target, records) in running.targets.iter().zip(running.records().await?) {
@@ -72,12 +73,12 @@
     Ok(())
 }
 
-/// A target's process is stopped for seconds and finds in its buffers what was sent meanwhile. If
-/// entries went on probing it, it would have to answer all those probes at once.
+/// Guards against a burst of probes to a target that resumes after seconds of pause. If entries
+/// kept probing it, it would have to answer all the probes in its buffers at once.
 #[tokio::test]
-async fn a_target_that_was_paused_is_not_met_by_a_burst_of_probes() -> anyhow::Result<()> {
+async fn resumed_target_gets_no_probe_burst() -> anyhow::Result<()> {
     let running = case().start().await?;
-    touch_all(&running).await?;
+    send_through_all_entries(&running).await?;
     wait_for_probes(&running, 1).await?;
 
     running.targets[0].program.pause()?;
@@ -85,7 +86,7 @@
     running.targets[0].program.resume()?;
     wait_until("the target answers again", async || running.targets[0].records().await.is_ok())
         .await?;
-    touch_all(&running).await?;
+    send_through_all_entries(&running).await?;
     wait_for_probes(&running, 2).await?;
 
     let most = running.targets[0].records().await?.probes_max_in_second;
@@ -93,9 +94,10 @@
     Ok(())
 }
 
-/// Answers carry load reports, so a target that serves traffic needs no probes at all.
+/// Guards against needless probes: answers carry load reports, so a target that serves traffic
+/// needs no probes.
 #[tokio::test]
-async fn targets_that_report_with_their_answers_are_not_probed() -> anyhow::Result<()> {
+async fn targets_reporting_load_in_answers_are_not_probed() -> anyhow::Result<()> {
     let running = case().with_entries(1).with_setting("vm", "probe_shares", "1").start().await?;
     let caller = CallerConfig::new(running.caller_addresses());
     let traffic = Traffic::start(&TrafficConfig::new(caller).with_reads(&service()?))?;
@@ -117,16 +119,16 @@
     Ok(())
 }
 
-/// Connections that each target has taken so far.
+/// Returns the number of connections that each target has accepted so far.
 async fn opened(running: &Running) -> anyhow::Result<Vec<u64>> {
     let records = running.records().await?;
     Ok(records.iter().map(|records| records.connections.opened).collect())
 }
 
-/// All entries are killed and start again while callers keep asking. Unspaced, their reconnects
-/// would take a millisecond each of targets that are already behind.
+/// Guards against a burst of reconnects when all entries are killed and restarted under traffic.
+/// Without spacing, each would cost a millisecond of targets that are already overloaded.
 #[tokio::test]
-async fn new_connections_keep_the_budget_when_all_entries_restart() -> anyhow::Result<()> {
+async fn connection_budget_holds_when_all_entries_restart() -> anyhow::Result<()> {
     let mut running = case().start().await?;
     let caller = CallerConfig::new(running.caller_addresses());
     let mut config = TrafficConfig::new(caller).with_reads(&service()?);
@@ -147,8 +149,8 @@
     config.caller = caller;
     let traffic = Traffic::start(&config)?;
     wait_until("traffic flows again", async || traffic.done() > 400).await?;
-    // Which targets the requests go to is up to the entries; the budget is only put to the test at
-    // targets that are connected to again, so that the traffic goes on until all of them are.
+    // The entries choose the targets, and the budget is only tested at targets that are connected
+    // to again, so traffic continues until all of them are.
     wait_until("all targets are reconnected to", async || {
         let Ok(after) = opened(&running).await else { return false };
         before.iter().zip(after).all(|(before, after)| after > *before)
--- a/tests/tests/fail_fast.rs
+++ b/tests/tests/fail_fast.rs
@@ -1,4 +1,4 @@
-//! A target that answers errors at once, beside others that are well.
+//! Targets that fail fast: they answer with an error at once.
 
 use anyhow::Context;
 use bytes::Bytes;
@@ -19,9 +19,8 @@
     running.targets[target].set_faults(faults).await
 }
 
-/// One of four targets loses its database and answers each request with an error within a
-/// millisecond, while the others are well. Stallholders read cards all the time; none of them
-/// may get the error.
+/// Guards against callers of reads getting the error of one of four targets that answers every
+/// request with an error within a millisecond, as after losing its database.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn callers_do_not_see_errors_of_one_target() -> anyhow::Result<()> {
     let running = start(4).await?;
@@ -32,7 +31,7 @@
     for target in 0..4 {
         fail(&running, target).await?;
         let wanted = traffic.done() + REQUESTS / 4;
-        wait_until("callers are at work", async || traffic.done() >= wanted).await?;
+        wait_until("more requests have ended", async || traffic.done() >= wanted).await?;
         running.targets[target].set_faults(TargetFaults::default()).await?;
     }
     let report = traffic.stop().await;
@@ -43,10 +42,10 @@
     Ok(())
 }
 
-/// A target answers an order with an error. It may have run in part, so the order must go to no
-/// other target; the caller gets the target's own answer.
+/// Guards against a second run: a target answers an order with an error and may have run it in
+/// part, so no other target may get it. The caller gets the target's own answer.
 #[tokio::test]
-async fn an_order_answered_with_an_error_is_not_sent_again() -> anyhow::Result<()> {
+async fn failed_order_is_not_retried() -> anyhow::Result<()> {
     let running = start(2).await?;
     fail(&running, 0).await?;
     fail(&running, 1).await?;
@@ -62,10 +61,10 @@
     Ok(())
 }
 
-/// Every target answers errors, as after a bad release. A read is tried a few times at most and
-/// then the caller gets the target's own answer.
+/// Guards against masking the error of a read that all targets fail, as after a bad release: after
+/// a few attempts at most the caller gets a target's own answer.
 #[tokio::test]
-async fn a_read_that_all_targets_fail_gets_a_targets_answer() -> anyhow::Result<()> {
+async fn read_failed_by_all_targets_returns_target_answer() -> anyhow::Result<()> {
     let running = start(2).await?;
     fail(&running, 0).await?;
     fail(&running, 1).await?;
--- a/tests/tests/graceful_orders.rs
+++ b/tests/tests/graceful_orders.rs
@@ -1,4 +1,4 @@
-//! Planned stops leave no order unknown: whoever resends one gets its answer.
+//! After planned stops, a repeated order still gets its kept answer.
 
 use anyhow::Context;
 use bytes::Bytes;
@@ -8,17 +8,17 @@
 use shallotfork_types::{IdempotencyKey, ServiceName};
 
 const KEEP_FOR_MS: &str = "500";
-/// Longer than a stop takes that does not wait for orders.
+/// Run time of a slow order; longer than a stop that does not wait for orders.
 const SLOW_US: &str = "4000000";
-/// Requests that must end before a part is stopped, so that the stop hits callers at work.
-const WARM_UP: u64 = 50;
+/// Requests that must end before a stop, so that it happens under traffic.
+const WARM_UP_REQUESTS: u64 = 50;
 
-struct Bench {
+struct Fixture {
     running: Running,
     orders: ServiceName,
 }
 
-impl Bench {
+impl Fixture {
     async fn start() -> anyhow::Result<Self> {
         let case = Case::new()
             .with_entries(3)
@@ -28,7 +28,7 @@
         Ok(Self { running: case.start().await?, orders: "order-desk".parse()? })
     }
 
-    /// An order under a session of one entry.
+    /// Builds an order with a session of the entry `issuer`.
     async fn order(&self, key: &str, issuer: usize) -> anyhow::Result<Call> {
         let address = self.running.caller_addresses()[issuer];
         let caller = Caller::new(CallerConfig::new(vec![address]))?;
@@ -47,104 +47,104 @@
     }
 }
 
-/// A stallholder lodges an order; the entry that issued the session is then stopped for good. The
-/// stallholder's app, restarted, sends the order again through each entry left. It gets the answer
-/// of the first run, since the issuer handed over its sealed ledger before it ended.
+/// Guards against a lost answer after the issuer is stopped for good. A repeat through each
+/// remaining entry gets the answer of the first run, since the issuer forwards its sealed ledger
+/// before it exits.
 #[tokio::test]
-async fn an_answer_outlives_the_planned_stop_of_its_issuer() -> anyhow::Result<()> {
-    let mut bench = Bench::start().await?;
-    let order = bench.order("kept", 0).await?;
-    let addresses = bench.running.caller_addresses();
-    let caller = bench.running.caller()?;
+async fn kept_answer_survives_planned_stop_of_issuer() -> anyhow::Result<()> {
+    let mut fixture = Fixture::start().await?;
+    let order = fixture.order("kept", 0).await?;
+    let addresses = fixture.running.caller_addresses();
+    let caller = fixture.running.caller()?;
     let first = caller.send_to(addresses[1], &order).await;
     let first = first.success().with_context(|| format!("{first:?}"))?;
 
-    bench.stop_entry(0).await?;
+    fixture.stop_entry(0).await?;
     for address in &addresses[1..] {
         let again = caller.send_to(*address, &order).await;
         let answer = again.success().with_context(|| format!("{again:?}"))?;
         assert_eq!(first.body, answer.body);
     }
 
-    assert_eq!(1, bench.running.runs_of_key("kept").await?);
+    assert_eq!(1, fixture.running.runs_of_key("kept").await?);
     Ok(())
 }
 
-/// As above, but every entry is replaced, one after another, before the order is sent again. No
-/// process that knew of the order at first is left; what it knew was handed on each time.
+/// As above, but every entry is replaced, one after another, before the order is repeated. No
+/// process that handled the order is left; its sealed ledger was forwarded at each stop.
 #[tokio::test]
-async fn an_answer_outlives_the_replacement_of_every_entry() -> anyhow::Result<()> {
-    let mut bench = Bench::start().await?;
-    let order = bench.order("handed-on", 0).await?;
-    let carrier = bench.running.caller_addresses()[1];
-    let first = bench.running.caller()?.send_to(carrier, &order).await;
+async fn kept_answer_survives_replacement_of_all_entries() -> anyhow::Result<()> {
+    let mut fixture = Fixture::start().await?;
+    let order = fixture.order("handed-on", 0).await?;
+    let carrier = fixture.running.caller_addresses()[1];
+    let first = fixture.running.caller()?.send_to(carrier, &order).await;
     let first = first.success().with_context(|| format!("{first:?}"))?;
 
     for _ in 0..3 {
-        bench.running.start_entry().await?;
-        bench.running.publish_vms().await?;
-        bench.running.wait_ready().await?;
-        bench.stop_entry(0).await?;
-        bench.running.remove_entry(0).await?;
+        fixture.running.start_entry().await?;
+        fixture.running.publish_vms().await?;
+        fixture.running.wait_ready().await?;
+        fixture.stop_entry(0).await?;
+        fixture.running.remove_entry(0).await?;
     }
-    for address in bench.running.caller_addresses() {
-        let again = bench.running.caller()?.send_to(address, &order).await;
+    for address in fixture.running.caller_addresses() {
+        let again = fixture.running.caller()?.send_to(address, &order).await;
         let answer = again.success().with_context(|| format!("{again:?}"))?;
         assert_eq!(first.body, answer.body);
     }
 
-    assert_eq!(1, bench.running.runs_of_key("handed-on").await?);
+    assert_eq!(1, fixture.running.runs_of_key("handed-on").await?);
     Ok(())
 }
 
-/// An order is at its target, sent by one entry under another's session, when the issuer is told
-/// to stop. The issuer must wait for its end: sealed too early, its ledger would not know the
-/// answer, and a resend would learn only that the order may have run.
+/// Guards against an issuer that stops while an order under its session runs through another entry.
+/// A ledger sealed before the order ends would lack the answer, and a repeat would get
+/// `may-have-run`.
 #[tokio::test]
-async fn a_stopping_issuer_waits_for_orders_that_run_elsewhere() -> anyhow::Result<()> {
-    let mut bench = Bench::start().await?;
-    let order = bench.order("slow", 0).await?.with_header(SERVICE_US_HEADER, SLOW_US);
-    let addresses = bench.running.caller_addresses();
-    let caller = bench.running.caller()?;
+async fn stopping_issuer_waits_for_orders_at_other_entries() -> anyhow::Result<()> {
+    let mut fixture = Fixture::start().await?;
+    let order = fixture.order("slow", 0).await?.with_header(SERVICE_US_HEADER, SLOW_US);
+    let addresses = fixture.running.caller_addresses();
+    let caller = fixture.running.caller()?;
     let carrier = addresses[1];
     let sent = order.clone();
     let sending = tokio::spawn(async move { caller.send_to(carrier, &sent).await });
     wait_until("the order is at its target", async || {
-        bench.running.runs_of_key("slow").await.is_ok_and(|runs| runs == 1)
+        fixture.running.runs_of_key("slow").await.is_ok_and(|runs| runs == 1)
     })
     .await?;
 
-    bench.stop_entry(0).await?;
+    fixture.stop_entry(0).await?;
 
     let first = sending.await?;
     let first = first.success().with_context(|| format!("{first:?}"))?;
-    let again = bench.running.caller()?.send_to(addresses[2], &order).await;
+    let again = fixture.running.caller()?.send_to(addresses[2], &order).await;
     let answer = again.success().with_context(|| format!("{again:?}"))?;
     assert_eq!(first.body, answer.body);
-    assert_eq!(1, bench.running.runs_of_key("slow").await?);
+    assert_eq!(1, fixture.running.runs_of_key("slow").await?);
     Ok(())
 }
 
-/// An entry, a target and the platform are all told to stop at the same moment, under load, and
-/// nobody tells the entries that are left. Callers notice nothing; no order fails or runs twice.
+/// Guards against failed requests and wrong answers when an entry, targets and the platform stop at
+/// the same moment under load. Nothing is published to the remaining entries.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_entry_a_target_and_the_platform_stop_at_once() -> anyhow::Result<()> {
-    let mut bench = Bench::start().await?;
-    let caller = CallerConfig::new(bench.running.caller_addresses());
+async fn simultaneous_planned_stops_lose_no_requests() -> anyhow::Result<()> {
+    let mut fixture = Fixture::start().await?;
+    let caller = CallerConfig::new(fixture.running.caller_addresses());
     let config = TrafficConfig::new(caller).with_reads(&"recipe-desk".parse()?);
-    let traffic = Traffic::start(&config.with_orders(&bench.orders))?;
-    go_on(&traffic, WARM_UP).await?;
-
-    bench.running.platform.program.terminate()?;
-    bench.running.targets[0].program.terminate()?;
-    let last = bench.running.targets.len() - 1;
-    bench.running.targets[last].program.terminate()?;
-    bench.running.entries[0].program.terminate()?;
-    assert!(bench.running.entries[0].program.wait_exit().await?.success());
+    let traffic = Traffic::start(&config.with_orders(&fixture.orders))?;
+    wait_for_requests(&traffic, WARM_UP_REQUESTS).await?;
+
+    fixture.running.platform.program.terminate()?;
+    fixture.running.targets[0].program.terminate()?;
+    let last = fixture.running.targets.len() - 1;
+    fixture.running.targets[last].program.terminate()?;
+    fixture.running.entries[0].program.terminate()?;
+    assert!(fixture.running.entries[0].program.wait_exit().await?.success());
     for target in [0, last] {
-        assert!(bench.running.targets[target].program.wait_exit().await?.success());
+        assert!(fixture.running.targets[target].program.wait_exit().await?.success());
     }
-    go_on(&traffic, WARM_UP).await?;
+    wait_for_requests(&traffic, WARM_UP_REQUESTS).await?;
     let report = traffic.stop().await;
 
     assert_eq!(Vec::<String>::new(), report.failed_reads);
@@ -153,7 +153,7 @@
     Ok(())
 }
 
-async fn go_on(traffic: &Traffic, count: u64) -> anyhow::Result<()> {
+async fn wait_for_requests(traffic: &Traffic, count: u64) -> anyhow::Result<()> {
     let wanted = traffic.done() + count;
-    wait_until("callers are at work", async || traffic.done() >= wanted).await
+    wait_until("more requests have ended", async || traffic.done() >= wanted).await
 }
--- a/tests/tests/harness.rs
+++ b/tests/tests/harness.rs
@@ -1,4 +1,4 @@
-//! The harness itself: stand-ins as processes, and the relay.
+//! Tests of the harness itself: stand-ins run as processes, and the relay.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test]
-async fn a_terminated_target_ends_by_itself() -> anyhow::Result<()> {
+async fn terminated_target_exits() -> anyhow::Result<()> {
     let case = Case::new().with_entries(0).with_service("recipe-desk", 1);
     let mut running = case.with_target_option("--grace-ms", "50").start().await?;
 
@@ -37,8 +37,8 @@
 }
 
 #[tokio::test]
-async fn a_relay_cuts_at_the_byte_told() -> anyhow::Result<()> {
-    let relay = Relay::start(echo().await?).await?;
+async fn relay_cuts_at_configured_byte() -> anyhow::Result<()> {
+    let relay = Relay::start(start_echo_server().await?).await?;
     relay.set_faults(RelayFaults { cut_to_client_at_bytes: Some(3), ..RelayFaults::default() });
 
     let mut client = TcpStream::connect(relay.address().address()).await?;
@@ -51,8 +51,8 @@
 }
 
 #[tokio::test]
-async fn a_held_relay_delivers_after_it_is_let_go() -> anyhow::Result<()> {
-    let relay = Relay::start(echo().await?).await?;
+async fn held_relay_delivers_after_release() -> anyhow::Result<()> {
+    let relay = Relay::start(start_echo_server().await?).await?;
     relay.set_faults(RelayFaults { hold_to_server: true, ..RelayFaults::default() });
     let mut client = TcpStream::connect(relay.address().address()).await?;
     client.write_all(b"hello").await?;
@@ -68,11 +68,11 @@
 }
 
 #[tokio::test]
-async fn a_cut_between_entries_holds_one_direction_only() -> anyhow::Result<()> {
+async fn link_cut_holds_one_direction_only() -> anyhow::Result<()> {
     let links = Links::new();
     let one = VmId::new("entry-1")?;
     let ten = VmId::new("entry-10")?;
-    let relay = Relay::start_between(echo().await?, &one, links.clone()).await?;
+    let relay = Relay::start_between(start_echo_server().await?, &one, links.clone()).await?;
     links.add_entry(&ten);
     let mut client = TcpStream::connect(relay.address().address()).await?;
     let mut received = [0; 8];
@@ -90,15 +90,15 @@
     Ok(())
 }
 
-/// A server that sends back what it gets.
-async fn echo() -> anyhow::Result<Endpoint> {
+/// Starts a server that echoes what it receives.
+async fn start_echo_server() -> anyhow::Result<Endpoint> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = Endpoint::new(listener.local_addr()?);
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             tokio::spawn(async move {
                 let (mut read, mut write) = stream.into_split();
-                // The client ends the connection whenever it likes.
+                // An error means that the client closed the connection, as it may at any time.
                 let _ = tokio::io::copy(&mut read, &mut write).await;
             });
         }
--- a/tests/tests/hostile_input.rs
+++ b/tests/tests/hostile_input.rs
@@ -1,4 +1,4 @@
-//! Hostile input on the callers' port of a real entry.
+//! Hostile input on the ports of a real entry.
 
 use std::time::Duration;
 
@@ -18,14 +18,14 @@
 const STALLED: usize = 200;
 const BODY_KIB: usize = 4096;
 const UPLOADS: usize = 40;
-/// Long enough that all bodies would be held at once.
+/// Run time of an upload; long enough that all bodies would be held at once.
 const SLOW_US: &str = "300000";
 
 async fn start() -> anyhow::Result<Running> {
     Case::new().with_service(SERVICE, 2).start().await
 }
 
-async fn start_impatient() -> anyhow::Result<Running> {
+async fn start_with_short_timeouts() -> anyhow::Result<Running> {
     Case::new()
         .with_service(SERVICE, 2)
         .with_setting("callers", "header_timeout_ms", HEADER_TIMEOUT_MS)
@@ -53,7 +53,7 @@
     Ok(report.success().is_some_and(|answer| answer.mark.as_deref() == Some(mark)))
 }
 
-/// The most memory that the entry has held so far.
+/// Returns the peak resident memory of the entry so far.
 async fn peak_kib(running: &Running) -> anyhow::Result<u64> {
     let pid = running.entries[0].program.pid().context("a process")?;
     let status = tokio::fs::read_to_string(format!("/proc/{pid}/status")).await?;
@@ -61,11 +61,11 @@
     Ok(line.trim().trim_end_matches(" kB").trim().parse()?)
 }
 
-/// Hundreds of connections send nothing, half a head, or half a body, and stay. Stallholders must
-/// be served beside them, and the connections must end.
+/// Guards against hundreds of stalled connections that send nothing, half a head or half a body.
+/// Other callers must be served meanwhile, and the entry must close the connections.
 #[tokio::test]
-async fn stalled_senders_harm_nobody_and_are_closed() -> anyhow::Result<()> {
-    let running = start_impatient().await?;
+async fn stalled_connections_are_closed() -> anyhow::Result<()> {
+    let running = start_with_short_timeouts().await?;
     let beginnings = [
         "",
         "GET /card HTTP/1.1\r\nhost: rec",
@@ -90,10 +90,10 @@
     Ok(())
 }
 
-/// Large bodies come all at once, more than the process may hold. It refuses some with the advice
-/// to come back, and its memory stays within bounds.
+/// Guards against unbounded memory when more large bodies arrive at once than the process may hold.
+/// It rejects some of them and asks their callers to retry later.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn bodies_beyond_the_limit_leave_memory_bounded() -> anyhow::Result<()> {
+async fn body_memory_is_bounded() -> anyhow::Result<()> {
     let running = start_with_little_memory().await?;
     assert!(is_served(&running, "before").await?);
     let before_kib = peak_kib(&running).await?;
@@ -126,9 +126,10 @@
     Ok(())
 }
 
-/// Sessions, keys and deadlines as no honest caller sends them. None may reach a target.
+/// Guards against requests with invalid sessions, keys, deadlines or caller names that reach a
+/// target.
 #[tokio::test]
-async fn bad_control_headers_are_refused_as_not_run() -> anyhow::Result<()> {
+async fn invalid_control_headers_are_rejected() -> anyhow::Result<()> {
     let running = start().await?;
     let long = "s".repeat(5000);
     let cases = [
@@ -155,19 +156,20 @@
     Ok(())
 }
 
-/// Bytes that are no HTTP, on the callers' and the peers' port, and heads that never end.
+/// Guards against an entry that fails on bytes that are not HTTP, or on oversized heads, on its
+/// caller, peer and operator ports.
 #[tokio::test]
-async fn noise_closes_only_its_own_connection() -> anyhow::Result<()> {
+async fn malformed_input_closes_only_its_connection() -> anyhow::Result<()> {
     let running = start().await?;
     let ready = &running.entries[0].ready;
     let mut endless = b"GET / HTTP/1.1\r\nhost: recipe-desk\r\nendless: ".to_vec();
     endless.resize(1 << 20, b'x');
     let many = format!("GET / HTTP/1.1\r\nhost: recipe-desk\r\n{}\r\n", "a: b\r\n".repeat(5000));
-    let noises = [vec![0; 70_000], vec![0xff; 70_000], endless, many.into_bytes()];
+    let inputs = [vec![0; 70_000], vec![0xff; 70_000], endless, many.into_bytes()];
     for port in [ready.callers, ready.peers, ready.operators] {
-        for noise in &noises {
+        for input in &inputs {
             let mut stream = TcpStream::connect(port.address()).await?;
-            let _closed_early = stream.write_all(noise).await;
+            let _closed_early = stream.write_all(input).await;
             let _closed_early = stream.shutdown().await;
             let mut answer = Vec::new();
             let reading = stream.read_to_end(&mut answer);
@@ -178,10 +180,11 @@
     wait_until("the entry is ready", async || running.entries[0].is_ready().await).await
 }
 
-/// A caller tries the operators' pages on the callers' port, with the host of the system itself
-/// and with a service's. Nobody but operators may read status, audit or metrics.
+/// Guards against callers who read status, audit or metrics: the operator pages are requested on
+/// the caller port, with the host of the entry itself, its operator port, `localhost` and a
+/// service.
 #[tokio::test]
-async fn callers_cannot_reach_the_operators_pages() -> anyhow::Result<()> {
+async fn operator_pages_are_unreachable_from_caller_port() -> anyhow::Result<()> {
     let running = start().await?;
     let entry = running.caller_addresses()[0];
     let http = reqwest::Client::new();
@@ -193,9 +196,9 @@
         "/metrics",
         "/v1/entries/../status",
     ] {
-        let itself = http.get(format!("http://{entry}{path}")).send().await?;
-        assert_eq!(StatusCode::NOT_FOUND, itself.status(), "{path}");
-        assert_eq!("not-run", itself.headers()["shallotfork-verdict"], "{path}");
+        let with_own_host = http.get(format!("http://{entry}{path}")).send().await?;
+        assert_eq!(StatusCode::NOT_FOUND, with_own_host.status(), "{path}");
+        assert_eq!("not-run", with_own_host.headers()["shallotfork-verdict"], "{path}");
 
         let operators = running.entries[0].ready.operators;
         for host in [operators.to_string(), "localhost".to_owned(), SERVICE.to_owned()] {
