--- a/tests/src/lib.rs
+++ b/tests/src/lib.rs
@@ -1,12 +1,13 @@
-//! Harness of the process tests: starts real programs on loopback ports and ends them.
+//! Harness of the process tests: runs the real programs on loopback ports.
 //!
-//! A test builds a [`Case`], starts it to a [`Running`] system of a platform stand-in, target
-//! stand-ins and `shallotd` processes, and causes failures through the handles it gets.
+//! A test builds a [`Case`] and starts it. The resulting [`Running`] system consists of a platform
+//! stand-in, target stand-ins and `shallotd` processes, through whose handles the test injects
+//! faults.
 
 mod case;
-mod desk;
 mod entry;
 mod lists;
+mod order_fixture;
 mod platform;
 mod program;
 mod relay;
@@ -18,9 +19,9 @@
 mod wait;
 
 pub use case::{Case, TargetGroup};
-pub use desk::{Desk, has_verdict, is_kept};
 pub use entry::{Entry, EntryReady};
 pub use lists::RevisionWatch;
+pub use order_fixture::{OrderFixture, has_verdict, is_kept_answer};
 pub use platform::Platform;
 pub use program::Program;
 pub use relay::{Links, Relay, RelayFaults};
--- a/tests/tests/lists_in_force.rs
+++ b/tests/tests/lists_in_force.rs
@@ -81,7 +81,7 @@
     wait_until("the last list is in force", async || running.has_rules_everywhere(last).await)
         .await?;
     assert!(running.agrees_on_rules().await);
-    assert_eq!(Vec::<String>::new(), watch.falls());
+    assert_eq!(Vec::<String>::new(), watch.decreases());
     Ok(())
 }
 
@@ -111,6 +111,6 @@
         };
         wait_until("the conflict is audited", has_conflict).await?;
     }
-    assert_eq!(Vec::<String>::new(), watch.falls());
+    assert_eq!(Vec::<String>::new(), watch.decreases());
     Ok(())
 }
--- a/tests/tests/lists_under_faults.rs
+++ b/tests/tests/lists_under_faults.rs
@@ -65,7 +65,7 @@
         wait_until("the old list is refused", has_refused).await?;
     }
     assert!(running.has_rules_everywhere(new).await);
-    assert_eq!(Vec::<String>::new(), watch.falls());
+    assert_eq!(Vec::<String>::new(), watch.decreases());
     Ok(())
 }
 
@@ -129,7 +129,7 @@
     let third = running.platform.publish_over("rules", &rule_list(4), second).await?;
     let third = third.ok_or_else(|| anyhow::anyhow!("another operator published first"))?;
     wait_in_force(&running, third).await?;
-    assert_eq!(Vec::<String>::new(), watch.falls());
+    assert_eq!(Vec::<String>::new(), watch.decreases());
     Ok(())
 }
 
@@ -164,7 +164,7 @@
     assert!(running.entries[2].is_ready().await);
     running.links.heal();
     wait_in_force(&running, revision).await?;
-    assert_eq!(Vec::<String>::new(), watch.falls());
+    assert_eq!(Vec::<String>::new(), watch.decreases());
     Ok(())
 }
 
@@ -188,6 +188,6 @@
     running.entries[2].program.resume()?;
     wait_in_force(&running, second).await?;
     assert!(running.agrees_on_rules().await);
-    assert_eq!(Vec::<String>::new(), watch.falls());
+    assert_eq!(Vec::<String>::new(), watch.decreases());
     Ok(())
 }
