--- a/crates/exchange/src/body_budget.rs
+++ b/crates/exchange/src/body_budget.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// A body's part of the [`BodyBudget`], which is released on drop.
+/// A body's share of the [`BodyBudget`], which is released on drop.
 #[derive(Debug)]
 pub struct BodyPermit {
     shared: Arc<Shared>,
@@ -61,10 +61,10 @@
 }
 
 impl BodyPermit {
-    /// Takes `size_bytes` more from the budget; returns `false` if less than that is left.
+    /// Reserves `size_bytes` more of the budget; returns `false` if less than that is left.
     #[must_use]
     pub fn grow(&mut self, size_bytes: u64) -> bool {
-        let taken = self.shared.held_bytes.fetch_update(
+        let reserved = self.shared.held_bytes.fetch_update(
             Ordering::Relaxed,
             Ordering::Relaxed,
             |held_bytes| {
@@ -72,7 +72,7 @@
                 (grown <= self.shared.limit_bytes).then_some(grown)
             },
         );
-        if taken.is_err() {
+        if reserved.is_err() {
             return false;
         }
         self.size_bytes += size_bytes;
--- a/crates/exchange/src/body_buffer.rs
+++ b/crates/exchange/src/body_buffer.rs
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    /// Returns the body; its part of the budget is released when the last clone is dropped.
+    /// Returns the body; its share of the budget is released when the last clone is dropped.
     pub(crate) fn finish(self) -> Bytes {
         let bytes = match self.chunks {
             Chunks::None => return Bytes::new(),
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -70,7 +70,7 @@
     /// Dropping the future closes the connection, so that a late answer is never read.
     ///
     /// # Errors
-    /// If there is no complete answer. The failure has the cause and whether the request may have
+    /// If there is no complete answer. The error states the cause and whether the request may have
     /// run.
     pub async fn send(&self, attempt: Attempt<Unsent>) -> Result<BufferedAnswer, AttemptFailure> {
         let remaining = attempt.remaining((self.now)());
--- a/crates/exchange/src/gate.rs
+++ b/crates/exchange/src/gate.rs
@@ -59,7 +59,7 @@
 #[error("too many new connections to the target")]
 pub(crate) struct GateRejection;
 
-/// Connector layer that asks the gate for a permit before reqwest opens a connection.
+/// Connector layer that requests a permit from the gate before reqwest opens a connection.
 #[derive(Debug, Clone)]
 pub(crate) struct GateLayer {
     gate: Arc<dyn ConnectionGate>,
--- a/crates/exchange/src/serve.rs
+++ b/crates/exchange/src/serve.rs
@@ -127,7 +127,7 @@
     serve_pipelined(listener, endpoint, config, control, Arc::new(|_| false)).await
 }
 
-/// Decides by its head whether a request without a body may start before the previous request on
+/// Decides from its head whether a request without a body may start before the previous request on
 /// its connection is answered.
 ///
 /// Such a request may run although its answer is never sent, so only idempotent ones may start.
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -51,7 +51,7 @@
     /// Control of the callers' port.
     pub callers: ServeControl,
     /// Connections to targets.
-    pub links: TargetConnections,
+    pub target_connections: TargetConnections,
     /// Counts of load probes of targets, by outcome.
     pub probe_counts: ProbeCounters,
     /// Budget for the bodies held in memory.
@@ -119,7 +119,8 @@
         self.answer_deadline.send_replace(Some(deadline));
     }
 
-    /// Completes once a stopping process can't wait for its requests any longer.
+    /// Waits until a stopping process has set the deadline for all answers and that deadline has
+    /// passed.
     pub async fn wait_for_answer_deadline(&self) {
         let mut answer_deadline = self.answer_deadline.subscribe();
         let Ok(Some(deadline)) =
--- a/crates/gateway/src/control/heartbeats.rs
+++ b/crates/gateway/src/control/heartbeats.rs
@@ -28,9 +28,9 @@
     while let Some(tick) = ticks.tick().await {
         tick_delay.record(tick.delay, tick.now);
         if tick.delay > RESUME_THRESHOLD {
-            let late_ms = u64::try_from(tick.delay.as_millis()).unwrap_or(u64::MAX);
+            let delay_ms = u64::try_from(tick.delay.as_millis()).unwrap_or(u64::MAX);
             let revision = state.archive.borrow().position();
-            event!(state.context.log, RESUMED, "late_ms" => late_ms,
+            event!(state.context.log, RESUMED, "late_ms" => delay_ms,
                 "revision" => revision.value());
             state.fleet.borrow_mut().handle_resume(tick.now);
         }
--- a/crates/gateway/src/control/publish.rs
+++ b/crates/gateway/src/control/publish.rs
@@ -93,8 +93,8 @@
     decoded
 }
 
-/// Logs an invalid part of a published item. The lines are bounded, because targets publish their
-/// entries again every second or so.
+/// Logs an invalid part of a published item. The number of log lines is limited, because targets
+/// publish their entries again every second or so.
 fn log_ignored(state: &ControlState, item: &RawItem, reason: &str) {
     let LogDecision::Write { left_out } = state.context.invalid_log_budget.try_acquire(state.now())
     else {
@@ -119,7 +119,7 @@
     log_evacuations(state, evacuated);
     for change in changed {
         let (RosterChange::Restarted(id) | RosterChange::Left(id)) = change else { continue };
-        context.links.close_idle(id);
+        context.target_connections.close_idle(id);
         lock(&context.rate_limits).forget(id);
         if matches!(change, RosterChange::Restarted(_)) {
             context.services.all().iter().for_each(|(_, slots)| slots.reset_target(id));
@@ -145,11 +145,11 @@
                     "revision" => evacuation.revision.value());
             }
             EvacuationEvent::Ended(evacuation) => {
-                let lasted = state.now().since(evacuation.learned_at);
+                let duration = state.now().since(evacuation.learned_at);
                 event!(log, EVACUATION_ENDED,
                     "failure_domain" => evacuation.failure_domain.as_str(),
                     "revision" => evacuation.revision.value(),
-                    "lasted_ms" => u64::try_from(lasted.as_millis()).unwrap_or(u64::MAX));
+                    "lasted_ms" => u64::try_from(duration.as_millis()).unwrap_or(u64::MAX));
             }
         }
     }
@@ -244,8 +244,8 @@
     }
 }
 
-/// Groups the targets by service. Every entry may send to each target and prefers those nearby. How
-/// much other entries send to a target it learns from the target itself before it sends.
+/// Groups the targets by service. Every entry may send to each target and prefers those nearby. An
+/// entry receives the load that other entries cause from the target itself, before it sends.
 fn by_service(
     targets: &HashMap<TargetId, TargetRecord>,
     evacuations: &Evacuations,
--- a/crates/gateway/src/control/pull.rs
+++ b/crates/gateway/src/control/pull.rs
@@ -47,17 +47,18 @@
     state.pull_scheduler.borrow_mut().end();
 }
 
-/// What one pull brought, for the log.
+/// Result of one pull, for the log.
 struct PullStats {
     after: Revision,
     started_at: Mono,
     revision: Revision,
     items: usize,
     bytes: u64,
-    whole: bool,
+    is_snapshot: bool,
 }
 
-/// Makes one pull. That the other entry is busy is not logged here, because that entry logs it.
+/// Makes one pull. A pull rejected because the other entry is busy is not logged here, because that
+/// entry logs it.
 async fn pull_from(state: &ControlState, source: &PullSource) -> Result<(), PeerError> {
     let started_at = state.now();
     let after = state.archive.borrow().position();
@@ -75,7 +76,7 @@
         Ok(items) => log_pull(
             state,
             source,
-            &PullStats { after, started_at, revision, items, bytes, whole: is_snapshot },
+            &PullStats { after, started_at, revision, items, bytes, is_snapshot },
         ),
         Err(error) => log_failed_pull(state, source, after, started_at, &error.to_string()),
     }
@@ -123,7 +124,7 @@
     event!(state.context.log, ITEMS_PULLED, "peer" => source.client.peer().vm.as_str(),
         "after" => pull.after.value(), "revision" => pull.revision.value(),
         "items" => pull.items, "bytes" => pull.bytes, "took_ms" => millis(duration),
-        "whole" => pull.whole);
+        "whole" => pull.is_snapshot);
 }
 
 fn millis(duration: Duration) -> u64 {
--- a/crates/gateway/src/control/pulled_items.rs
+++ b/crates/gateway/src/control/pulled_items.rs
@@ -8,11 +8,11 @@
 use crate::control::state::ControlState;
 use shallotfork_feed::{FeedChanges, PullError, PullResponse, RawItem, unpack};
 
-/// Whether to pull from the sender of a heartbeat what it knows beyond this entry.
+/// Whether to pull published items from the sender of a heartbeat because it has a higher revision.
 ///
-/// An entry that can't read the platform itself may still know more, from entries that can. A
-/// reader of the platform learns of most changes from there first; if it stays behind the others
-/// for longer than the propagation delay, its read hangs.
+/// An entry that can't read the platform itself may still have a higher revision, received from
+/// entries that can. A reader receives most changes from the platform first; if its revision stays
+/// lower than that of others for longer than the propagation delay, its read of the platform hangs.
 pub fn should_pull_from(state: &ControlState, heartbeat: &Heartbeat) -> bool {
     let (revision, own_revision) = (heartbeat.synced_revision, state.archive.borrow().position());
     let view = state.view();
--- a/crates/gateway/src/control/reader.rs
+++ b/crates/gateway/src/control/reader.rs
@@ -18,10 +18,10 @@
 /// watch ends. If that happens to all readers at once, other entries have to replace them soon
 /// enough for a change to be in force everywhere within the users' limit of 2 s.
 const WATCH_WAIT: Duration = Duration::from_millis(700);
-/// Silence after the wait of a watch which means that the connection is dead, and not only that the
-/// platform is slow.
+/// Time without an answer after the wait of a watch from which the connection counts as failed. A
+/// platform that is only slow answers sooner.
 const WATCH_SILENCE_MAX: Duration = Duration::from_millis(400);
-/// Longest silence while a page is read.
+/// Maximum time without received data while a page is read.
 const PAGE_SILENCE_MAX: Duration = Duration::from_millis(1000);
 /// Timeout of one call as a whole, for platforms that send the answer a byte at a time.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
@@ -131,7 +131,7 @@
     Ok(())
 }
 
-/// Marks this process as synced, and so able to serve, once it knows routes.
+/// Marks this process as synced, and so able to serve, once routes are in force.
 pub fn mark_synced(state: &ControlState) {
     let is_synced = state.fleet.borrow().own_state().is_synced;
     if !is_synced && state.in_force.borrow().table().is_some() {
--- a/crates/gateway/src/control/serve_pulls.rs
+++ b/crates/gateway/src/control/serve_pulls.rs
@@ -30,7 +30,7 @@
 }
 
 /// Logs the pulls served since the last call if they were large or some were deferred, and sets the
-/// metric of the revision that this entry knows.
+/// metric of the revision up to which this entry has published items.
 pub fn report_served_pulls(state: &ControlState) {
     let revision = state.archive.borrow().position();
     gauge!("shallotfork_revision").set(revision.value() as f64);
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -51,7 +51,7 @@
     pub pull_sources: RefCell<Vec<PullSource>>,
     /// Counts of pulls served to other entries.
     pub served_pulls: PullCounts,
-    /// Bounds the part of the link that served pulls may use.
+    /// Limits the share of the network uplink that served pulls may use.
     pub uplink: RefCell<Uplink>,
     /// Since when the platform counts as unavailable; `None` while it is available.
     pub platform_outage_started_at: Cell<Option<Mono>>,
--- a/crates/gateway/src/control/thread.rs
+++ b/crates/gateway/src/control/thread.rs
@@ -43,7 +43,7 @@
 /// Interval at which the pulls served to other entries are reported.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the control thread takes over from start-up.
+/// Arguments of the control thread.
 pub struct ControlParts {
     /// State shared with the traffic threads.
     pub context: Arc<Context>,
@@ -91,7 +91,7 @@
     /// informed.
     pub async fn leave(&self) {
         let (done, finished) = oneshot::channel();
-        // A thread that has ended has no entries left to inform.
+        // If the thread has ended, nothing can be sent to other entries any more.
         let _ended = self.commands.send(Command::Leave(done));
         let _ended = finished.await;
     }
@@ -149,7 +149,7 @@
             _ = cleanup.tick() => {
                 expire_targets(&state);
                 mark_settled(&state);
-                state.context.links.prune_idle();
+                state.context.target_connections.prune_idle();
                 lock(&state.context.quarantine).expire(state.now());
                 expire_rate_limits(&state.context);
             }
--- a/crates/gateway/src/leave.rs
+++ b/crates/gateway/src/leave.rs
@@ -9,12 +9,12 @@
 use crate::context::Context;
 use crate::control::ControlHandle;
 
-/// Fraction of the shutdown grace during which new connections are accepted. Callers keep arriving
-/// for as long as they keep an old directory answer; about half of the grace is left to answer the
-/// last of them.
+/// Fraction of the shutdown grace during which new connections are accepted. Callers keep
+/// connecting for as long as they cache an earlier directory answer; about half of the grace is
+/// left to answer the last of them.
 const OPEN_GRACE_FRACTION: f64 = 0.48;
-/// Fraction of the grace after which requests that are still at a target are given up. The users
-/// count a request as cut off if it is given up before the last sixth of the grace.
+/// Fraction of the grace after which requests that are still at a target are abandoned. The users
+/// count a request as cut off if it is abandoned before the last sixth of the grace.
 const ANSWER_GRACE_FRACTION: f64 = 0.85;
 /// Fraction of the grace after which the process ends, so that it has ended before it is killed,
 /// even on a busy VM with a tenth of a processor.
@@ -27,10 +27,10 @@
 /// Stops the process without cutting off a request.
 ///
 /// 1. Other entries are informed, and directory answers no longer contain this entry.
-/// 2. Callers that keep an old directory answer are still served, and each answer asks them to
+/// 2. Callers that cache an earlier directory answer are still served, and each answer asks them to
 ///    close the connection. Requests that can't be served before the end are rejected while there
 ///    is time to answer them.
-/// 3. The port closes, and the requests in flight end.
+/// 3. The port is closed, and the requests in flight end.
 pub async fn leave(context: &Arc<Context>, control: &ControlHandle, process: Process<Leaving>) {
     let callers = &context.callers;
     let started_at = context.clock.now();
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -98,7 +98,10 @@
         published: ArcSwap::from_pointee(Published::default()),
         fleet: ArcSwap::from_pointee(FleetSnapshot::default()),
         callers: ServeControl::new(),
-        links: TargetConnections::new(ConnectionConfig::default(), body_budget.clone()),
+        target_connections: TargetConnections::new(
+            ConnectionConfig::default(),
+            body_budget.clone(),
+        ),
         probe_counts: ProbeCounters::default(),
         body_budget,
         services: Services::default(),
--- a/crates/gateway/src/snapshot.rs
+++ b/crates/gateway/src/snapshot.rs
@@ -9,7 +9,7 @@
 use shallotfork_routes::RouteTable;
 use shallotfork_types::{FailureDomain, Mono, Permille, TargetId};
 
-/// Published items as this process knows them.
+/// Published items that this process has received.
 #[derive(Debug, Clone, Default)]
 pub struct Published {
     /// Routes in force; `None` before the first ones.
--- a/crates/gateway/src/traffic/attempts.rs
+++ b/crates/gateway/src/traffic/attempts.rs
@@ -271,7 +271,7 @@
         Either::Left((outcome, _)) => return outcome,
         Either::Right(((), first)) => first,
     };
-    let Some(second) = slots.assign_hedge(&routed.slot_request(&history.excluded)) else {
+    let Some(hedge) = slots.assign_hedge(&routed.slot_request(&history.excluded)) else {
         return first.await;
     };
     if routed.caller.is_closed()
@@ -280,8 +280,8 @@
     {
         return first.await;
     }
-    history.record_start(&second);
-    match select(first, pin!(send_attempt(routed, second))).await {
+    history.record_start(&hedge);
+    match select(first, pin!(send_attempt(routed, hedge))).await {
         Either::Left((outcome, other)) => prefer_answered(outcome, other).await,
         Either::Right((outcome, other)) => prefer_answered(outcome, other).await,
     }
@@ -320,7 +320,7 @@
         answer_owner(context, &routed.request_id, headers)
     };
     let repeatable = routed.is_idempotent();
-    let link_request = TargetRequest {
+    let target_request = TargetRequest {
         target: &target,
         endpoint,
         request,
@@ -331,9 +331,9 @@
         on_opened: &|| {},
     };
     let is_cold = slot.mark_sent();
-    let sent_bytes = message_bytes(link_request.request.headers(), routed.request.body.len());
+    let sent_bytes = message_bytes(target_request.request.headers(), routed.request.body.len());
     TransferKind::Requests.record_bytes(&domain, sent_bytes);
-    let result = context.links.send(link_request).await;
+    let result = context.target_connections.send(target_request).await;
     if let Ok(answer) = &result {
         TransferKind::Answers
             .record_bytes(&domain, message_bytes(&answer.headers, answer.body.len()));
@@ -360,7 +360,7 @@
 /// Whether the target refuses connections; `false` if the check times out.
 async fn refuses_connections(routed: &RoutedRequest, endpoint: Endpoint) -> bool {
     let timeout = routed.remaining(routed.context.clock.now()).min(CRASH_CHECK_TIMEOUT);
-    let check = routed.context.links.refuses_connections(endpoint);
+    let check = routed.context.target_connections.refuses_connections(endpoint);
     tokio::time::timeout(timeout, check).await.unwrap_or(false)
 }
 
--- a/crates/gateway/src/traffic/probes.rs
+++ b/crates/gateway/src/traffic/probes.rs
@@ -128,7 +128,7 @@
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = uri;
     TransferKind::Probes.record_bytes(&domain, message_bytes(request.headers(), 0));
-    let link_request = TargetRequest {
+    let target_request = TargetRequest {
         target,
         endpoint,
         request,
@@ -141,7 +141,7 @@
     counter!("shallotfork_probes").increment(1);
     context.probe_counts.record_sent();
     let sent_at = context.clock.now();
-    let Ok(answer) = context.links.send(link_request).await else {
+    let Ok(answer) = context.target_connections.send(target_request).await else {
         let delay = context.clock.now().since(sent_at).saturating_sub(PROBE_TIMEOUT);
         slots.record_failed_probe(target, delay);
         return ProbeResult::Unanswered;
--- a/crates/gateway/src/traffic/service_load.rs
+++ b/crates/gateway/src/traffic/service_load.rs
@@ -49,21 +49,21 @@
 /// Connections opened and probes sent to targets since the start of the process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct TargetCounts {
-    openings: OpenedConnections,
+    connections: OpenedConnections,
     probes: ProbeTotals,
 }
 
 /// Logs the connections and probes since `before`. Returns the current counts.
 fn report_connections(context: &Context, before: TargetCounts) -> TargetCounts {
     let now = TargetCounts {
-        openings: context.links.opened_connections(),
+        connections: context.target_connections.opened_connections(),
         probes: context.probe_counts.read(),
     };
     if now != before {
         event!(context.log, TARGET_CONNECTIONS,
-            "for_requests" => now.openings.requests - before.openings.requests,
-            "for_probes" => now.openings.probes - before.openings.probes,
-            "for_port_checks" => now.openings.port_checks - before.openings.port_checks,
+            "for_requests" => now.connections.requests - before.connections.requests,
+            "for_probes" => now.connections.probes - before.connections.probes,
+            "for_port_checks" => now.connections.port_checks - before.connections.port_checks,
             "probes" => now.probes.sent - before.probes.sent,
             "probes_silent" => now.probes.unanswered - before.probes.unanswered,
         );
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -95,7 +95,7 @@
     pub outage: Option<Duration>,
 }
 
-/// Membership update: what the sender of a heartbeat knows about another VM.
+/// Membership update: what the sender of a heartbeat reports about another VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerUpdate {
     /// Process that the update describes.
--- a/crates/platform/tests/backoff.rs
+++ b/crates/platform/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Delays after failures.
+//! Tests of the delays between calls to the platform after failures.
 
 use std::time::Duration;
 
--- a/crates/shallotd/src/control/command.rs
+++ b/crates/shallotd/src/control/command.rs
@@ -25,7 +25,7 @@
     List(ListName, oneshot::Sender<Option<String>>),
     /// Stops advertising this VM to callers and announces to its peers that it is leaving.
     Leave(oneshot::Sender<()>),
-    /// Seals the ledger and hands copies of it to peers.
+    /// Seals the ledger and sends copies of it to peers.
     Seal(oneshot::Sender<()>),
 }
 
@@ -92,7 +92,7 @@
         self.request(Command::Leave).await;
     }
 
-    /// Seals the ledger and hands copies of it to peers.
+    /// Seals the ledger and sends copies of it to peers.
     pub async fn seal(&self) {
         self.request(Command::Seal).await;
     }
--- a/crates/shallotd/src/control/handoff.rs
+++ b/crates/shallotd/src/control/handoff.rs
@@ -1,4 +1,4 @@
-//! Last step of a planned stop: seals the ledger and hands copies of it to peers.
+//! Last step of a planned stop: seals the ledger and sends copies of it to peers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -33,11 +33,11 @@
     let archived = state.ledger.borrow().ledgers_to_forward(now);
     let Some(sealed) = state.ledger.borrow_mut().seal(now) else { return };
     let operations: usize = sealed.sessions.iter().map(|session| session.operations.len()).sum();
-    let holders = copy_to_peers(state, sealed).await;
+    let copies = copy_to_peers(state, sealed).await;
     event!(
         state.context.log, LEDGER_SEALED,
         "operations" => operations,
-        "peers" => holders,
+        "peers" => copies,
     );
     for ledger in archived {
         copy_to_peers(state, ledger).await;
@@ -61,16 +61,16 @@
     let is_live = |entry| entry == EntryState::Live;
     let mut candidates = rank_peers(state, &ledger.vm, is_live).into_iter();
     let parts = ledger.with_answers_within(ANSWERS_SIZE_MAX).into_parts(PART_SIZE_MAX);
-    let mut holders = 0;
-    while holders < copies_wanted {
-        let batch: Vec<EntryVm> = candidates.by_ref().take(copies_wanted - holders).collect();
+    let mut copies = 0;
+    while copies < copies_wanted {
+        let batch: Vec<EntryVm> = candidates.by_ref().take(copies_wanted - copies).collect();
         if batch.is_empty() {
             break;
         }
         let copied = join_all(batch.iter().map(|peer| copy_to_peer(state, peer, &parts))).await;
-        holders += copied.into_iter().filter(|accepted| *accepted).count();
+        copies += copied.into_iter().filter(|accepted| *accepted).count();
     }
-    holders
+    copies
 }
 
 async fn copy_to_peer(state: &State, peer: &EntryVm, parts: &[LedgerPart]) -> bool {
--- a/crates/shallotd/src/control/lists.rs
+++ b/crates/shallotd/src/control/lists.rs
@@ -135,8 +135,8 @@
             ParsedList::Targets(service, targets) => {
                 self.targets.insert(service, Arc::new(targets));
             }
-            ParsedList::ServiceRules(service, part) => {
-                self.service_rules.insert(service, Arc::new(part));
+            ParsedList::ServiceRules(service, list) => {
+                self.service_rules.insert(service, Arc::new(list));
             }
             ParsedList::Vms(vms) => self.vms = Some((published.revision, vms)),
         }
@@ -179,7 +179,7 @@
             .map(|list| ParsedList::Rules(ServiceIndex::new(&list)))
             .map_err(join_errors),
         ListName::ServiceRules(service) => ServiceRuleList::parse(&published.content)
-            .map(|part| ParsedList::ServiceRules(service.clone(), part))
+            .map(|list| ParsedList::ServiceRules(service.clone(), list))
             .map_err(join_errors),
         ListName::Targets(service) => parse_targets(service, &published.content)
             .map(|targets| ParsedList::Targets(service.clone(), targets))
--- a/crates/shallotd/src/control/lists_start.rs
+++ b/crates/shallotd/src/control/lists_start.rs
@@ -36,7 +36,7 @@
 ///
 /// A process starts without any state. A lagging replica, or a platform that was rolled back, would
 /// give it a list that has already been replaced, and its callers would be served by the old list
-/// again. Only the other replicas and the peers know the newer one, so all of them are read and the
+/// again. Only the other replicas and the peers have the newer one, so all of them are read and the
 /// highest version comes into force before the first caller is served.
 pub async fn load_initial_lists(state: &Rc<State>) {
     let seed = state.context.identity.incarnation.value();
--- a/crates/shallotd/src/control/members.rs
+++ b/crates/shallotd/src/control/members.rs
@@ -234,8 +234,8 @@
 }
 
 /// Marks the operations that a suspected or replaced process was running as lost, so that callers
-/// receive may-have-run instead of in-progress. If the process is alive after all, its completion
-/// report sets the exact outcome.
+/// receive may-have-run instead of in-progress. If the process is still running after all, its
+/// completion report sets the exact outcome.
 fn mark_lost_operations(state: &State, previous: Option<&EntryVm>, current: &EntryVm) {
     let mut ledger = state.ledger.borrow_mut();
     if let Some(suspected) = current.incarnation.filter(|_| current.state == EntryState::Suspected)
--- a/crates/shallotd/src/control/operations.rs
+++ b/crates/shallotd/src/control/operations.rs
@@ -203,7 +203,7 @@
 enum Unavailable {
     /// Its incarnation has ended or its VM is unknown; only its sealed ledger has the answer.
     Gone,
-    /// It does not answer; it may be paused, partitioned or dead.
+    /// It does not answer; it may be paused, partitioned or crashed.
     Unresponsive,
 }
 
--- a/crates/shallotd/src/control/peers.rs
+++ b/crates/shallotd/src/control/peers.rs
@@ -110,9 +110,9 @@
         self.failures.borrow_mut().insert(endpoint, failure);
     }
 
-    /// Returns the lock that the one task connecting to an entry holds. When an entry comes back,
-    /// many claims wait for it at the same time, and without the lock each would open its own
-    /// connection.
+    /// Returns the lock held by the one task that connects to an entry. When an entry restarts or
+    /// is reachable again, many claims wait for it at the same time, and without the lock each
+    /// would open its own connection.
     fn connect_lock(&self, vm: &VmId) -> Rc<Mutex<()>> {
         let mut connect_locks = self.connect_locks.borrow_mut();
         connect_locks.retain(|other, lock| other == vm || Rc::strong_count(lock) > 1);
--- a/crates/shallotd/src/control/probes.rs
+++ b/crates/shallotd/src/control/probes.rs
@@ -57,9 +57,10 @@
     let previous = state.probed_snapshot.replace(Arc::clone(&snapshot));
     if !Arc::ptr_eq(&previous, &snapshot) {
         let changes = target_changes(&previous, &snapshot);
-        let gone: Vec<TargetId> = changes.gone.iter().map(|target| target.id.clone()).collect();
+        let removed: Vec<TargetId> =
+            changes.removed.iter().map(|target| target.id.clone()).collect();
         let present: Vec<MeasuredTarget> = changes.present.iter().map(to_measured_target).collect();
-        scheduler.change_targets(&gone, &present, state.context.clock.now());
+        scheduler.change_targets(&removed, &present, state.context.clock.now());
     }
     for service in snapshot.services.values().filter(|service| service.pool.take_attempt_ended()) {
         record_traffic_answers(&mut scheduler, service);
--- a/crates/shallotd/src/control/publish.rs
+++ b/crates/shallotd/src/control/publish.rs
@@ -43,7 +43,7 @@
         |targets: &[&TargetInfo]| targets.iter().map(gate_target).collect::<Vec<_>>();
     context
         .connection_gate
-        .change_targets(&gate_targets(&changes.gone), &gate_targets(&changes.present));
+        .change_targets(&gate_targets(&changes.removed), &gate_targets(&changes.present));
     context.snapshot.store(Arc::new(new));
     state.ready.send_if_modified(|was| std::mem::replace(was, ready) != ready);
 }
@@ -117,26 +117,26 @@
 
     fn rules(&self, name: &ServiceName, old: Option<&Arc<Service>>) -> Option<Arc<ServiceRules>> {
         let index = self.rules.as_ref()?;
-        let part = self.lists.service_rules.get(name);
+        let service_list = self.lists.service_rules.get(name);
         let old = old.and_then(|old| old.rules.as_ref());
-        if let Some(old) = old.filter(|old| is_built_from(old, index, part)) {
+        if let Some(old) = old.filter(|old| is_built_from(old, index, service_list)) {
             return Some(Arc::clone(old));
         }
-        Some(Arc::new(ServiceRules::new(name, Arc::clone(index), part.cloned())))
+        Some(Arc::new(ServiceRules::new(name, Arc::clone(index), service_list.cloned())))
     }
 }
 
 fn is_built_from(
     rules: &ServiceRules,
     index: &Arc<ServiceIndex>,
-    part: Option<&Arc<ServiceRuleList>>,
+    service_list: Option<&Arc<ServiceRuleList>>,
 ) -> bool {
-    let same_part = match (&rules.service_list, part) {
+    let is_same_list = match (&rules.service_list, service_list) {
         (Some(old), Some(new)) => Arc::ptr_eq(old, new),
         (None, None) => true,
         _ => false,
     };
-    same_part && Arc::ptr_eq(&rules.index, index)
+    is_same_list && Arc::ptr_eq(&rules.index, index)
 }
 
 fn pool(state: &State, name: &ServiceName) -> Arc<ServicePool> {
--- a/crates/shallotd/src/control/state.rs
+++ b/crates/shallotd/src/control/state.rs
@@ -26,7 +26,8 @@
     pub context: Arc<Context>,
     /// The platform that publishes the lists.
     pub platform: Box<dyn Platform>,
-    /// Whether the platform cannot be read, or only through a replica that is behind.
+    /// Whether the platform cannot be read, or only through a replica whose revision lags
+    /// behind the highest one.
     pub is_disconnected: Cell<bool>,
     /// Entries that report to be disconnected from the platform.
     pub disconnected_entries: RefCell<BTreeSet<VmId>>,
--- a/crates/shallotd/src/control/target_changes.rs
+++ b/crates/shallotd/src/control/target_changes.rs
@@ -10,7 +10,7 @@
 #[derive(Default)]
 pub struct TargetChanges<'a> {
     /// Targets only in the old snapshot, or there under another address.
-    pub gone: Vec<&'a TargetInfo>,
+    pub removed: Vec<&'a TargetInfo>,
     /// All targets of the changed lists in the new snapshot, including unchanged ones.
     pub present: Vec<&'a TargetInfo>,
 }
@@ -25,20 +25,22 @@
             continue;
         }
         changes.present.extend(service.targets.by_id.values());
-        changes.gone.extend(before.into_iter().flat_map(|before| gone(before, Some(service))));
+        changes
+            .removed
+            .extend(before.into_iter().flat_map(|before| removed_targets(before, Some(service))));
     }
     for (name, service) in &old.services {
         if !new.services.contains_key(name) {
-            changes.gone.extend(gone(service, None));
+            changes.removed.extend(removed_targets(service, None));
         }
     }
     changes
 }
 
-fn gone<'a>(before: &'a Service, now: Option<&'a Service>) -> Vec<&'a TargetInfo> {
-    let stays = |target: &&TargetInfo| {
+fn removed_targets<'a>(before: &'a Service, now: Option<&'a Service>) -> Vec<&'a TargetInfo> {
+    let is_kept = |target: &&TargetInfo| {
         let same = now.and_then(|now| now.targets.by_id.get(&target.id));
         same.is_some_and(|same| same.endpoint == target.endpoint)
     };
-    before.targets.by_id.values().filter(|target| !stays(target)).collect()
+    before.targets.by_id.values().filter(|target| !is_kept(target)).collect()
 }
--- a/crates/shallotd/src/control/thread.rs
+++ b/crates/shallotd/src/control/thread.rs
@@ -36,7 +36,7 @@
 use crate::control::watch::watch_platform;
 use crate::control::{operations, publish::publish, report};
 
-/// Everything that start-up hands to the control thread.
+/// Arguments of the control thread.
 pub struct ControlParts {
     /// Context shared with the traffic threads.
     pub context: Arc<Context>,
--- a/crates/shallotd/src/control/watch.rs
+++ b/crates/shallotd/src/control/watch.rs
@@ -16,11 +16,12 @@
 use crate::control::state::State;
 use crate::metrics_catalogue::PLATFORM_BEHIND as BEHIND_REVISIONS;
 
-/// Maximum time to wait for a change at a replica that is behind, before the next one is watched.
+/// Maximum time to wait for a change at a replica whose revision lags behind the highest one,
+/// before the next replica is watched.
 const BEHIND_TIMEOUT_MAX: Duration = Duration::from_millis(500);
 
-/// Consecutive answers that must show a replica behind before this is logged; a single one may only
-/// mean that another replica received the change a moment earlier.
+/// Number of consecutive answers with a lagging revision before the lag of a replica is logged; a
+/// single one may only mean that another replica received the change a moment earlier.
 const BEHIND_ANSWERS_BEFORE_LOG: u32 = 2;
 
 /// Reads the platform for as long as the process runs.
@@ -92,14 +93,19 @@
     let after = state.lists.borrow().cursor.after(replica);
     let Changes { replica, revision, lists } = state.platform.changes(after, timeout).await?;
     let answer = state.lists.borrow_mut().cursor.record_answer(replica, after, revision);
-    record_behind(state, answer, revision, replica);
+    record_replica_status(state, answer, revision, replica);
     Ok(apply_lists(state, lists, &ListSource::Platform(replica)))
 }
 
-fn record_behind(state: &State, answer: ReplicaStatus, revision: Revision, replica: Endpoint) {
+fn record_replica_status(
+    state: &State,
+    answer: ReplicaStatus,
+    revision: Revision,
+    replica: Endpoint,
+) {
     let highest = state.lists.borrow().cursor.highest_revision();
-    let behind = highest.value() - revision.value();
-    gauge!(BEHIND_REVISIONS.name, "replica" => replica.to_string()).set(behind as f64);
+    let revisions_behind = highest.value() - revision.value();
+    gauge!(BEHIND_REVISIONS.name, "replica" => replica.to_string()).set(revisions_behind as f64);
     if let ReplicaStatus::Behind { highest, answers: BEHIND_ANSWERS_BEFORE_LOG } = answer {
         event!(
             state.context.log, PLATFORM_BEHIND,
--- a/crates/shallotd/src/traffic/dispatch.rs
+++ b/crates/shallotd/src/traffic/dispatch.rs
@@ -199,13 +199,13 @@
         Either::Left((result, _)) => return result,
         Either::Right(((), first)) => first,
     };
-    let Some(second) =
+    let Some(hedge) =
         planned.service.pool.assign_hedge(first_attempt, pool_request(planned, tried_targets))
     else {
         return first.await;
     };
-    tried_targets.insert(second.target().clone());
-    match select(first, pin!(run_attempt(planned, second))).await {
+    tried_targets.insert(hedge.target().clone());
+    match select(first, pin!(run_attempt(planned, hedge))).await {
         Either::Left((Ok(answer), _)) | Either::Right((Ok(answer), _)) => Ok(answer),
         Either::Left((Err(failure), other)) => {
             other.await.map_err(|last| select_failure(failure, last))
