--- a/crates/exchange/tests/answers.rs
+++ b/crates/exchange/tests/answers.rs
@@ -171,7 +171,8 @@
 }
 
 /// Guards against a late answer to an abandoned request reaching the next caller on a reused
-/// connection. The connection must be closed, which also tells the target that no caller waits.
+/// connection. The connection must be closed, which also signals to the target that no
+/// caller waits.
 #[tokio::test]
 async fn late_answer_never_reaches_next_request() {
     let target = RawTarget::start(|index, mut connection| async move {
--- a/crates/exchange/tests/evidence.rs
+++ b/crates/exchange/tests/evidence.rs
@@ -160,8 +160,8 @@
     assert_eq!(Verdict::MayHaveRun, actual.expect_err("late").verdict());
 }
 
-/// Guards against a wrong verdict when a target's machine is gone: nothing was sent, so the request
-/// may be retried elsewhere at once.
+/// Guards against a wrong verdict when a target has stopped and refuses connections: nothing
+/// was sent, so the request may be retried at another target immediately.
 #[tokio::test]
 async fn refused_connection_is_not_run() {
     let target = RawTarget::start(|_, _| async {}).await;
--- a/crates/gateway/src/control/heartbeats.rs
+++ b/crates/gateway/src/control/heartbeats.rs
@@ -60,7 +60,7 @@
     update_advertised_entries(&state);
 }
 
-/// Announces at once, to the entries that have to know, that this process is leaving.
+/// Announces immediately, to the entries that need this information, that this process is leaving.
 pub async fn announce_leaving(state: &Rc<ControlState>) {
     let endpoints = state.fleet.borrow_mut().leave(state.now());
     update_advertised_entries(state);
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -47,7 +47,7 @@
     pub body_budget: Bytes,
     /// Longest time between the request to stop and the end of the process.
     pub shutdown_grace: Duration,
-    /// How long callers may keep a directory answer.
+    /// How long callers may cache a directory answer.
     pub directory_ttl: Duration,
     /// Window in which repeated sends are bounded, for all entries together.
     pub retry_window: Duration,
--- a/crates/shallotd/src/control/lists_pull.rs
+++ b/crates/shallotd/src/control/lists_pull.rs
@@ -67,7 +67,8 @@
 }
 
 /// Returns the revision after which to read: the synced revision of this process if the peer's is
-/// later, otherwise `Revision::NONE` for all lists, because the difference is in what both have.
+/// later, otherwise `Revision::NONE` for all lists, because the difference is then in lists that
+/// both processes have.
 fn pull_after(state: &State, heartbeat: &Heartbeat) -> Revision {
     let synced = state.lists.borrow().cursor.synced_revision();
     if heartbeat.synced_revision > synced { synced } else { Revision::NONE }
--- a/crates/shallotd/src/control/lists_start.rs
+++ b/crates/shallotd/src/control/lists_start.rs
@@ -63,9 +63,9 @@
 
 /// Reads the lists of peers whose digest differs from this process's.
 ///
-/// The peers are read one after another, since after the first one the others mostly have nothing
-/// else. Reading all lists of all peers, megabytes each, would cause a load peak when a whole rack
-/// restarts.
+/// The peers are read one after another, since the others mostly have the same lists as the
+/// first one. Reading all lists of all peers, megabytes each, would cause a load peak when a whole
+/// rack restarts.
 async fn read_peers(state: &Rc<State>) {
     let entries = state.view.borrow().entries();
     let peers = heartbeat_peers(&state.context.identity.vm, &entries, PEERS_MAX);
--- a/crates/shallotd/src/control/operations.rs
+++ b/crates/shallotd/src/control/operations.rs
@@ -15,7 +15,7 @@
 
 use crate::control::state::State;
 
-/// Maximum number of peers queried for the sealed ledger of an issuer that is gone.
+/// Maximum number of peers queried for the sealed ledger of an issuer that has ended.
 const LOOKUP_PEERS_MAX: usize = 8;
 
 /// Maximum number of concurrent lookups in the sealed ledgers of peers.
--- a/crates/shallotd/src/control/state.rs
+++ b/crates/shallotd/src/control/state.rs
@@ -45,7 +45,7 @@
     pub peers: Peers,
     /// Limits completions that are reported in the background.
     pub report_permits: Arc<Semaphore>,
-    /// Limits lookups at peers of operations whose issuer is gone.
+    /// Limits lookups at peers of operations whose issuer has ended.
     pub lookup_permits: Semaphore,
     /// The audit trail.
     pub audit: RefCell<AuditTrail>,
@@ -53,7 +53,7 @@
     pub pools: RefCell<BTreeMap<ServiceName, Arc<ServicePool>>>,
     /// Decides when this process may probe which target.
     pub probe_scheduler: RefCell<ProbeScheduler>,
-    /// The snapshot whose targets the probe scheduler has.
+    /// The snapshot from which the probe scheduler last received its targets.
     pub probed_snapshot: RefCell<Arc<Snapshot>>,
     /// Number of probes sent so far.
     pub probes_sent: Cell<u64>,
