--- a/crates/gateway/src/control/heartbeats.rs
+++ b/crates/gateway/src/control/heartbeats.rs
@@ -28,9 +28,9 @@
     while let Some(tick) = ticks.tick().await {
         tick_delay.record(tick.delay, tick.now);
         if tick.delay > RESUME_THRESHOLD {
-            let late_ms = u64::try_from(tick.delay.as_millis()).unwrap_or(u64::MAX);
+            let delay_ms = u64::try_from(tick.delay.as_millis()).unwrap_or(u64::MAX);
             let revision = state.archive.borrow().position();
-            event!(state.context.log, RESUMED, "late_ms" => late_ms,
+            event!(state.context.log, RESUMED, "late_ms" => delay_ms,
                 "revision" => revision.value());
             state.fleet.borrow_mut().handle_resume(tick.now);
         }
@@ -60,7 +60,7 @@
     update_advertised_entries(&state);
 }
 
-/// Announces at once, to the entries that have to know, that this process is leaving.
+/// Announces immediately, to the entries that need this information, that this process is leaving.
 pub async fn announce_leaving(state: &Rc<ControlState>) {
     let endpoints = state.fleet.borrow_mut().leave(state.now());
     update_advertised_entries(state);
--- a/crates/shallotd/src/control/lists_start.rs
+++ b/crates/shallotd/src/control/lists_start.rs
@@ -36,7 +36,7 @@
 ///
 /// A process starts without any state. A lagging replica, or a platform that was rolled back, would
 /// give it a list that has already been replaced, and its callers would be served by the old list
-/// again. Only the other replicas and the peers know the newer one, so all of them are read and the
+/// again. Only the other replicas and the peers have the newer one, so all of them are read and the
 /// highest version comes into force before the first caller is served.
 pub async fn load_initial_lists(state: &Rc<State>) {
     let seed = state.context.identity.incarnation.value();
@@ -63,9 +63,9 @@
 
 /// Reads the lists of peers whose digest differs from this process's.
 ///
-/// The peers are read one after another, since after the first one the others mostly have nothing
-/// else. Reading all lists of all peers, megabytes each, would cause a load peak when a whole rack
-/// restarts.
+/// The peers are read one after another, since the others mostly have the same lists as the
+/// first one. Reading all lists of all peers, megabytes each, would cause a load peak when a whole
+/// rack restarts.
 async fn read_peers(state: &Rc<State>) {
     let entries = state.view.borrow().entries();
     let peers = heartbeat_peers(&state.context.identity.vm, &entries, PEERS_MAX);
--- a/crates/shallotd/src/control/state.rs
+++ b/crates/shallotd/src/control/state.rs
@@ -26,7 +26,8 @@
     pub context: Arc<Context>,
     /// The platform that publishes the lists.
     pub platform: Box<dyn Platform>,
-    /// Whether the platform cannot be read, or only through a replica that is behind.
+    /// Whether the platform cannot be read, or only through a replica whose revision lags
+    /// behind the highest one.
     pub is_disconnected: Cell<bool>,
     /// Entries that report to be disconnected from the platform.
     pub disconnected_entries: RefCell<BTreeSet<VmId>>,
@@ -44,7 +45,7 @@
     pub peers: Peers,
     /// Limits completions that are reported in the background.
     pub report_permits: Arc<Semaphore>,
-    /// Limits lookups at peers of operations whose issuer is gone.
+    /// Limits lookups at peers of operations whose issuer has ended.
     pub lookup_permits: Semaphore,
     /// The audit trail.
     pub audit: RefCell<AuditTrail>,
@@ -52,7 +53,7 @@
     pub pools: RefCell<BTreeMap<ServiceName, Arc<ServicePool>>>,
     /// Decides when this process may probe which target.
     pub probe_scheduler: RefCell<ProbeScheduler>,
-    /// The snapshot whose targets the probe scheduler has.
+    /// The snapshot from which the probe scheduler last received its targets.
     pub probed_snapshot: RefCell<Arc<Snapshot>>,
     /// Number of probes sent so far.
     pub probes_sent: Cell<u64>,
