--- a/crates/balance/src/budget.rs
+++ b/crates/balance/src/budget.rs
@@ -8,8 +8,8 @@
 /// Allows extra attempts up to a share of first attempts.
 ///
 /// In any span of time, extra attempts <= `burst` + share x first attempts. Without this bound,
-/// retries multiply the load when targets fail, and the overload sustains itself after its cause is
-/// gone.
+/// retries multiply the load when targets fail, and the overload sustains itself after its cause
+/// has ended.
 #[derive(Debug)]
 pub(crate) struct ShareBudget {
     share: Permille,
--- a/crates/balance/src/pool/choice.rs
+++ b/crates/balance/src/pool/choice.rs
@@ -37,7 +37,7 @@
     }
 
     /// Returns whether a hedge would run at the target at once, as far as this process knows.
-    /// Elsewhere it would wait behind first attempts and delay them.
+    /// At a target without a free slot it would wait behind first attempts and delay them.
     pub(super) fn has_free_slot(&self, target: &Target, now: Mono) -> bool {
         target.wait_factor(now, &self.stats, &self.config.target) <= 1.0
     }
--- a/crates/balance/src/slots/config.rs
+++ b/crates/balance/src/slots/config.rs
@@ -13,17 +13,17 @@
     /// of the phases in which neighbours on the same host slow a target down.
     pub slowdown_decay: Duration,
     /// Age of a target's last load report beyond which the target is probed before a request is
-    /// sent to it; default 10 ms, a small part of a slow phase. A probe takes one round trip.
+    /// sent to it; default 10 ms, a small fraction of a slow phase. A probe takes one round trip.
     pub load_max_age: Duration,
     /// Age of a target's last report of whether it is cold beyond which the target is probed before
     /// a request is sent to it, if its service has a warm-up; default 50 ms. Only probe answers
     /// carry this report, and a busy target's other answers keep its load known without a probe.
     pub cold_report_max_age: Duration,
     /// Time between two probes of a target while requests wait for the end of its slow phase;
-    /// default 25 ms, a small part of such a phase.
+    /// default 25 ms, a small fraction of such a phase.
     pub probe_interval: Duration,
-    /// Part of the time to its deadline, in thousandths, for which a request may wait that can no
-    /// longer be answered within its objective; default 250.
+    /// Fraction of the time to its deadline, in thousandths, for which a request may wait that can
+    /// no longer be answered within its objective; default 250.
     pub late_wait_permille: u32,
     /// Name of this process. It determines the rank of equally good targets, so that processes
     /// don't all fill the same target first.
@@ -32,8 +32,8 @@
     pub failure_domain: Option<FailureDomain>,
     /// Cost of sending a request to another failure domain, in thousandths of the usual time of its
     /// class; default 1000. A remote target is chosen when the local ones would take twice as long
-    /// or have no suitable slot. Estimates of equal targets differ by a part of that time, which
-    /// must not make requests cross.
+    /// or have no suitable slot. Estimates of equal targets differ by a fraction of that time,
+    /// which must not make requests cross failure domains.
     pub cross_domain_cost_permille: u32,
     /// Maximum number of queued requests; default 4096, a bound on memory only.
     pub queue_max: usize,
--- a/crates/balance/src/slots/estimate.rs
+++ b/crates/balance/src/slots/estimate.rs
@@ -18,17 +18,17 @@
 /// Initial slowdown of runs on saturated targets; high enough to keep targets unsaturated until it
 /// has been measured.
 const SATURATION_SLOWDOWN_INITIAL: f64 = 1.5;
-/// Smallest part of a run during which its target is assumed to be saturated, if it is at all. The
-/// slowdown by saturation is measured over whole runs.
-const SATURATED_PART_MIN: f64 = 0.5;
-/// Part of a target's slots, in thousandths, that can be in use without saturating it.
+/// Smallest fraction of a run during which its target is assumed to be saturated, if it is at all.
+/// The slowdown by saturation is measured over complete runs.
+const SATURATED_FRACTION_MIN: f64 = 0.5;
+/// Fraction of a target's slots, in thousandths, that can be in use without saturating it.
 const UNSATURATED_PERMILLE: u32 = 667;
 /// Bounds of the measured saturation cost; noise must not turn it into a gain.
 const SATURATION_COST_BOUNDS: (f64, f64) = (1.0, 3.0);
 /// Weight of a new report in the mean slowdown of all targets.
 const SLOWDOWN_WEIGHT: f64 = 0.01;
-/// Divisor that gives the smallest part of prompt probe answers at which targets count as answering
-/// promptly. The part is smaller while all targets are full.
+/// Divisor that gives the smallest fraction of prompt probe answers at which targets count as
+/// answering promptly. The fraction is smaller while all targets are full.
 const PROMPT_PROBES_DIVISOR: u64 = 4;
 /// Samples are capped at this multiple of the estimate, so that a single hang doesn't shift the
 /// mean.
@@ -124,7 +124,7 @@
         self.mean_work_us.unwrap_or(self.initial_work_us)
     }
 
-    /// Returns whether targets report their slowdown; true until the opposite is known.
+    /// Returns whether targets report their slowdown; true while this is unknown.
     pub(super) fn may_report_slowdown(&self) -> bool {
         self.reports_slowdown.unwrap_or(true)
     }
@@ -151,7 +151,7 @@
     /// than when it is kept unsaturated.
     pub(super) fn is_saturation_worthwhile(&self, slots: u32) -> bool {
         let gain = f64::from(slots) / f64::from(unsaturated_slots(slots)) - 1.0;
-        self.saturation_slowdown() - 1.0 < gain * SATURATED_PART_MIN
+        self.saturation_slowdown() - 1.0 < gain * SATURATED_FRACTION_MIN
     }
 
     /// Returns how much longer runs take if their target is saturated meanwhile.
--- a/crates/balance/src/slots/limits.rs
+++ b/crates/balance/src/slots/limits.rs
@@ -66,9 +66,9 @@
 
 impl SlotPool {
     /// Sets the names of the processes that share the slots and recomputes the shares of all
-    /// limits. This process is included only if it is advertised to callers. `share` is the part of
-    /// the warm-up rate of cold targets that these processes may use together: less than the whole
-    /// if they see only a part of the fleet. Before the first call it is zero.
+    /// limits. This process is included only if it is advertised to callers. `share` is the share
+    /// of the warm-up rate of cold targets that these processes may use together: less than the
+    /// full rate if they see only some of the fleet. Before the first call it is zero.
     pub fn set_sharers(&mut self, sharers: Vec<String>, share: Permille, now: Mono) {
         self.sharers = sharers;
         self.sharers_total_share = share;
@@ -129,7 +129,7 @@
         for (id, target) in cold.filter(|(_, target)| wanted(target)) {
             target.warmup_share = warmup.map(|Warmup { duration, rate }| {
                 target.cold_until = target.cold_until.min(now.plus(duration));
-                let limit = rate.part(*sharers_total_share);
+                let limit = rate.share(*sharers_total_share);
                 let share = compute_share(limit, id, &config.name, sharers);
                 RateShare::allotted(target.warmup_share, limit, share, now)
             });
--- a/crates/balance/src/slots/pool.rs
+++ b/crates/balance/src/slots/pool.rs
@@ -59,11 +59,11 @@
     pub(super) attempts: BTreeMap<AttemptId, TargetId>,
     pub(super) queue: SlotQueue,
     pub(super) estimates: Estimates,
-    /// State changes that have not been taken yet.
+    /// State changes that the caller of the pool has not collected yet.
     state_changes: Vec<TargetStateChange>,
     /// Names of the processes that are advertised to callers and send requests to these targets.
     pub(super) sharers: Vec<String>,
-    /// Part of the warm-up rate of cold targets that all sharers together may use.
+    /// Share of the warm-up rate of cold targets that all sharers together may use.
     pub(super) sharers_total_share: Permille,
     /// Warm-up rate of cold targets; `None` if they have no such limit.
     pub(super) warmup: Option<Warmup>,
@@ -253,9 +253,9 @@
 
     /// Returns when to call `expire` next; `None` while nothing waits.
     pub fn next_expiry(&self, now: Mono) -> Option<Mono> {
-        let ends =
+        let wait_ends =
             self.queue.iter().map(|(_, request)| self.wait_until(request, request.arrived_at));
-        let first = ends.min()?;
+        let first = wait_ends.min()?;
         let reinstated_at = self.targets.values().filter_map(Target::ejected_until);
         let reinstated_at = reinstated_at.filter(|until| *until > now).min();
         Some(reinstated_at.map_or(first, |at| at.min(first)))
@@ -361,7 +361,7 @@
             .collect();
         candidates.sort();
         let wanted = self.queue.len() * PROBES_PER_WAITING;
-        candidates.truncate(self.probe_budget.take(wanted.min(candidates.len()), now));
+        candidates.truncate(self.probe_budget.acquire(wanted.min(candidates.len()), now));
         let due: Vec<TargetId> = candidates.into_iter().map(|(_, _, id)| id.clone()).collect();
         for id in &due {
             if let Some(target) = self.targets.get_mut(id) {
@@ -453,7 +453,7 @@
 
     /// Assigns any slot to a request that has waited long enough, since a slow slot is better than
     /// none; slow slots are left out if more requests wait than slots are free. A slot used in a
-    /// slow phase is taken for five times as long and would make several waiting requests late.
+    /// slow phase is occupied for five times as long and would make several waiting requests late.
     pub(super) fn assign_any_or_shed(&mut self, request: &SlotRequest, now: Mono) -> Admission {
         let filter = if self.queue.len() <= self.free_slots(now) {
             TargetFilter::Any
--- a/crates/balance/src/slots/probe_budget.rs
+++ b/crates/balance/src/slots/probe_budget.rs
@@ -27,12 +27,12 @@
     }
 
     /// Takes up to `wanted` probes from the budget and returns how many may be sent.
-    pub(super) fn take(&mut self, wanted: usize, now: Mono) -> usize {
+    pub(super) fn acquire(&mut self, wanted: usize, now: Mono) -> usize {
         let elapsed_s = now.since(self.updated_at).as_secs_f64();
         self.updated_at = now;
         self.available = (self.available + elapsed_s * PROBES_PER_S).min(BUDGET_MAX);
-        let taken = wanted.min(self.available as usize);
-        self.available -= taken as f64;
-        taken
+        let acquired = wanted.min(self.available as usize);
+        self.available -= acquired as f64;
+        acquired
     }
 }
--- a/crates/balance/src/slots/rate_share.rs
+++ b/crates/balance/src/slots/rate_share.rs
@@ -64,8 +64,8 @@
     }
 }
 
-/// Computes the share of `limit` for the process `own_name`: an equal part if it is among the
-/// processes selected for the target, otherwise zero. Without any names it gets the whole limit.
+/// Computes the share of `limit` for the process `own_name`: an equal share if it is among the
+/// processes selected for the target, otherwise zero. Without any names it gets the full limit.
 pub(super) fn compute_share(
     limit: RequestRate,
     target: &TargetId,
--- a/crates/balance/src/slots/target.rs
+++ b/crates/balance/src/slots/target.rs
@@ -23,9 +23,9 @@
 const FAILURE_WEIGHT: f64 = 0.15;
 /// Cost of a failure to a caller, as a multiple of the time of an answer.
 const FAILURE_COST: f64 = 6.0;
-/// Divisor that gives the part of a remote target's slots up to which a process that has reached
-/// its share may fill them. A smaller part leaves spare slots unused; a larger one takes slots that
-/// another failure domain needs.
+/// Divisor that gives the fraction of a remote target's slots up to which a process that has
+/// reached its share may fill them. A smaller fraction leaves spare slots unused; a larger one
+/// takes slots that another failure domain needs.
 const REMOTE_SLOTS_DIVISOR: u32 = 2;
 /// Smallest number of slots at which a target may be kept unsaturated. Of two slots, only one would
 /// be left.
@@ -257,7 +257,7 @@
 
     /// Returns whether the target reports such a slowdown that waiting for the end of the slow
     /// phase would be quicker. A run keeps the slowdown with which it started, so a slot that is
-    /// assigned in a slow phase is taken for several times as long.
+    /// assigned in a slow phase is occupied for several times as long.
     ///
     /// A short request may finish earlier in a slow phase than after it and still miss its
     /// objective; it waits as well if the wait leaves enough time.
--- a/crates/balance/src/target.rs
+++ b/crates/balance/src/target.rs
@@ -36,7 +36,7 @@
 pub struct PoolTarget {
     /// The id of the target.
     pub id: TargetId,
-    /// The failure domain in which it runs.
+    /// Failure domain in which the target runs.
     pub failure_domain: FailureDomain,
     /// Number of requests that it runs at once.
     pub slots: u32,
--- a/crates/balance/tests/cold_targets.rs
+++ b/crates/balance/tests/cold_targets.rs
@@ -15,7 +15,7 @@
 use shallotfork_balance::{Admission, SlotPool, SlotTarget};
 use shallotfork_types::{Permille, RequestRate, Warmup};
 
-use fleet::{Fleet, WHOLE};
+use fleet::{FULL_SHARE, Fleet};
 use support::{answered, at, expect_queued, expect_sent, id, load, named_pool, request_at, target};
 
 const TARGET: &str = "mill";
@@ -70,7 +70,7 @@
 }
 
 /// Guards against overloading a whole failure domain that restarts at once: all of its targets are
-/// cold, idle and preferred by every process while all other targets are gone.
+/// cold, idle and preferred by every process while there are no other targets.
 #[test]
 fn returning_cold_domain_keeps_warm_up_rate_per_target() {
     let names: Vec<String> = (0..20).map(|number| format!("mill-{number}")).collect();
@@ -84,19 +84,19 @@
     }
 }
 
-/// Guards against the groups of a partitioned fleet each using the whole warm-up rate of a cold
+/// Guards against the groups of a partitioned fleet each using the full warm-up rate of a cold
 /// target.
 #[test]
 fn partitioned_fleet_keeps_warm_up_rate() {
     let mut fleet = Fleet::new(1, 15, 3, QUICK_MS, |name| cold_pool(name, &[TARGET]));
     for (number, process) in fleet.processes.iter_mut().enumerate() {
-        let (group, part) = match number {
-            0..8 => (0..8, WHOLE),
+        let (group, share) = match number {
+            0..8 => (0..8, FULL_SHARE),
             8..12 => (8..12, Permille::new(266)),
             _ => (12..15, Permille::new(200)),
         };
         let names = group.map(|number| format!("vm-{number}")).collect();
-        process.pool.set_sharers(names, part, at(0));
+        process.pool.set_sharers(names, share, at(0));
     }
     fleet.run(SIMULATED_MS, SIMULATED_MS);
     let max = fleet.max_sends_in_window(0, WINDOW_MS);
@@ -110,8 +110,8 @@
         let mut fleet = Fleet::new(1, count, 3, QUICK_MS, |name| cold_pool(name, &[TARGET]));
         let own_view = |name: &str| (vec![name.to_owned()], Permille::new(0));
         for process in &mut fleet.processes {
-            let (names, part) = own_view(&process.name);
-            process.pool.set_sharers(names, part, at(0));
+            let (names, share) = own_view(&process.name);
+            process.pool.set_sharers(names, share, at(0));
         }
         fleet.schedule_view_updates(1_000);
         fleet.run(4_000, 4_000);
@@ -126,7 +126,7 @@
 #[test]
 fn slot_is_unfit_after_target_turns_cold() {
     let mut pool = named_pool("vm-0", &[TARGET]);
-    pool.set_sharers(vec!["vm-0".to_owned()], WHOLE, at(0));
+    pool.set_sharers(vec!["vm-0".to_owned()], FULL_SHARE, at(0));
     pool.set_warmup(warmup(3_000), at(0));
     let assignment = expect_sent(pool.admit(request_at(0), at(0)));
     assert!(!pool.is_unfit(&assignment, &request_at(0), at(1)));
@@ -152,7 +152,7 @@
 #[test]
 fn busy_target_is_probed_for_cold_report() {
     let mut pool = named_pool("vm-0", &[TARGET]);
-    pool.set_sharers(vec!["vm-0".to_owned()], WHOLE, at(0));
+    pool.set_sharers(vec!["vm-0".to_owned()], FULL_SHARE, at(0));
     pool.set_warmup(warmup(3_000), at(0));
     pool.record_cold_report(&id(TARGET), Duration::ZERO, at(0));
     let mut unprobed = 0;
@@ -201,7 +201,7 @@
 #[test]
 fn requests_beyond_warm_up_rate_are_shed_at_once() {
     let mut pool = cold_pool("vm-0", &[TARGET]);
-    pool.set_sharers(vec!["vm-0".to_owned(), "vm-1".to_owned()], WHOLE, at(0));
+    pool.set_sharers(vec!["vm-0".to_owned(), "vm-1".to_owned()], FULL_SHARE, at(0));
     let mut refused = Vec::new();
     for _ in 0..10 {
         if let Admission::Shed(shed) = pool.admit(request_at(0), at(0)) {
@@ -216,7 +216,7 @@
 #[test]
 fn cold_target_latency_does_not_change_usual_time() {
     let mut pool = cold_pool("vm-0", &[TARGET]);
-    pool.set_sharers(vec!["vm-0".to_owned()], WHOLE, at(0));
+    pool.set_sharers(vec!["vm-0".to_owned()], FULL_SHARE, at(0));
     let before = pool.usual_time(&request_at(0).class);
     pool.record_load(&id(TARGET), load(0, 1000), at(1_000));
     let assignment = expect_sent(pool.admit(request_at(1_000), at(1_000)));
@@ -238,7 +238,7 @@
     let began = Instant::now();
     for round in 0..20 {
         let names = (round..round + 100).map(|number| format!("vm-{number}")).collect();
-        pool.set_sharers(names, WHOLE, at(0));
+        pool.set_sharers(names, FULL_SHARE, at(0));
     }
     assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
 }
--- a/crates/balance/tests/support/fleet.rs
+++ b/crates/balance/tests/support/fleet.rs
@@ -9,7 +9,7 @@
 use super::support::{answered, at, request_at};
 
 /// Share of the rate of cold targets that processes use when they see the whole fleet.
-pub const WHOLE: Permille = Permille::new(1000);
+pub const FULL_SHARE: Permille = Permille::new(1000);
 
 const STEP_MS: u64 = 10;
 /// Upper bound of the delay after which a process learns of a fleet change.
@@ -48,7 +48,7 @@
         let sharers = names[..sharers].to_vec();
         let process = |name: &String| {
             let mut pool = pool(name);
-            pool.set_sharers(sharers.clone(), WHOLE, at(0));
+            pool.set_sharers(sharers.clone(), FULL_SHARE, at(0));
             Process { name: name.clone(), pool, running: Vec::new(), pending_view: None }
         };
         let processes = names.iter().map(process).collect();
@@ -82,7 +82,7 @@
         for process in &mut self.processes {
             let view = process.pending_view.take_if(|(update_at_ms, _)| *update_at_ms <= now_ms);
             if let Some((_, view)) = view {
-                process.pool.set_sharers(view, WHOLE, at(now_ms));
+                process.pool.set_sharers(view, FULL_SHARE, at(now_ms));
             }
             let ended = process.running.extract_if(.., |(ends_ms, _)| *ends_ms <= now_ms);
             for (_, assignment) in ended {
--- a/crates/evacuation/src/evacuations.rs
+++ b/crates/evacuation/src/evacuations.rs
@@ -15,7 +15,7 @@
     Evacuated,
     /// The published item cannot be decoded; the previous state stays in force.
     Unreadable,
-    /// No item is published, or it has been removed.
+    /// No evacuation of the failure domain is published, or the item has been removed.
     Removed,
 }
 
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -74,7 +74,7 @@
     Routes {
         /// The decoded table.
         table: RouteTable,
-        /// Descriptions of the invalid parts that were skipped.
+        /// Descriptions of the invalid parts of the item that were skipped.
         ignored: Vec<String>,
     },
     /// A route table that is unusable as a whole; the one in force stays.
--- a/crates/fleet/src/advertised.rs
+++ b/crates/fleet/src/advertised.rs
@@ -115,7 +115,7 @@
 }
 
 /// Returns the capacity that an entry needs to be advertised: half of the lowest capacity among the
-/// smallest set of leading entries that carries a sufficient part of the load.
+/// smallest set of leading entries that carries a sufficient share of the load.
 fn min_capacity(load: u64, ranking: &[Candidate]) -> u64 {
     let ranking: Vec<&Candidate> = ranking.iter().collect();
     let counts = || 1..=ranking.len();
--- a/crates/fleet/src/core_entries.rs
+++ b/crates/fleet/src/core_entries.rs
@@ -17,7 +17,7 @@
 /// [`rank_entries`](crate::rank_entries), and keeps their order.
 ///
 /// The advertised entries and the readers follow from the core entries alone. If every entry were
-/// told of all others, the number of messages at a simultaneous start, and the time each entry
+/// informed of all others, the number of messages at a simultaneous start, and the time each entry
 /// takes to rank the others, would grow with the square of the fleet size.
 pub fn select_core_entries(ranking: &[Candidate], advertised: &BTreeSet<VmId>) -> Vec<VmId> {
     let mut remaining = core_entry_counts(ranking, advertised);
--- a/crates/fleet/src/discovery.rs
+++ b/crates/fleet/src/discovery.rs
@@ -75,7 +75,7 @@
 /// in the whole fleet.
 ///
 /// A suspicion that was wrong or is outdated ends with a heartbeat, but no entry sends heartbeats
-/// to one that is not ranked. Without these calls, a part of the fleet could keep advertising other
+/// to one that is not ranked. Without these calls, a group of entries could keep advertising other
 /// entries than the rest.
 fn suspected_leading_entries<'a>(
     view: &'a FleetView,
--- a/crates/measure/src/connection_budget.rs
+++ b/crates/measure/src/connection_budget.rs
@@ -56,15 +56,15 @@
 
     /// Sets the list of targets. New ones may be connected to after one spacing.
     pub fn set_targets(&mut self, targets: &[TargetId], now: Mono) {
-        let gone: Vec<TargetId> =
+        let removed: Vec<TargetId> =
             self.targets.keys().filter(|known| !targets.contains(known)).cloned().collect();
-        self.change_targets(&gone, targets, now);
+        self.change_targets(&removed, targets, now);
     }
 
-    /// Updates the list of targets: `gone` are removed, and those of `present` that are unknown are
-    /// added.
-    pub fn change_targets(&mut self, gone: &[TargetId], present: &[TargetId], now: Mono) {
-        for target in gone {
+    /// Updates the list of targets: those of `removed` are deleted, and those of `present` that are
+    /// unknown are added.
+    pub fn change_targets(&mut self, removed: &[TargetId], present: &[TargetId], now: Mono) {
+        for target in removed {
             self.targets.remove(target);
         }
         let next_at = now.plus(self.spacing());
--- a/crates/measure/src/fleet_share.rs
+++ b/crates/measure/src/fleet_share.rs
@@ -1,4 +1,4 @@
-//! The fixed part of a fleet-wide budget that one process may use.
+//! The fixed share of a fleet-wide budget that one process may use.
 
 use std::error::Error;
 use std::fmt;
--- a/crates/measure/src/load_report.rs
+++ b/crates/measure/src/load_report.rs
@@ -23,7 +23,7 @@
 const IN_FLIGHT: &str = "in_flight";
 const DRAINING: &str = "draining";
 
-/// Load that a target reports with one answer; every part may be missing.
+/// Load that a target reports with one answer; every field may be missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LoadReport {
     /// Utilisation of the target's processor or of its application's capacity; above 1000 if
--- a/crates/measure/src/probe_scheduler.rs
+++ b/crates/measure/src/probe_scheduler.rs
@@ -85,19 +85,20 @@
     /// Sets the list of targets. New and changed ones are due one full spacing after their first
     /// answer, so that a flapping list cannot shorten a spacing.
     pub fn set_targets(&mut self, targets: &[MeasuredTarget], now: Mono) {
-        let gone: Vec<TargetId> = self
+        let removed: Vec<TargetId> = self
             .targets
             .keys()
             .filter(|known| !targets.iter().any(|target| target.id == **known))
             .cloned()
             .collect();
-        self.change_targets(&gone, targets, now);
+        self.change_targets(&removed, targets, now);
     }
 
-    /// Updates the list of targets: `gone` are removed, and those of `present` that are new or
-    /// changed are scheduled. The running time does not depend on the number of other targets.
-    pub fn change_targets(&mut self, gone: &[TargetId], present: &[MeasuredTarget], now: Mono) {
-        for target in gone {
+    /// Updates the list of targets: those of `removed` are deleted, and those of `present` that are
+    /// new or changed are scheduled. The running time does not depend on the number of other
+    /// targets.
+    pub fn change_targets(&mut self, removed: &[TargetId], present: &[MeasuredTarget], now: Mono) {
+        for target in removed {
             self.targets.remove(target);
         }
         for target in present {
--- a/crates/membership/src/silence_allowance.rs
+++ b/crates/membership/src/silence_allowance.rs
@@ -17,7 +17,7 @@
 /// Allows a VM a longer silence after each wrong suspicion.
 ///
 /// A VM without spare processor time responds late. If it were always suspected after the usual
-/// silence, it would be taken for lost and found again many times a minute. Each of these changes
+/// silence, it would be suspected and cleared again many times a minute. Each of these changes
 /// is propagated to the whole fleet and uses processor time there, which delays further VMs.
 #[derive(Debug, Default)]
 pub(crate) struct SilenceAllowance {
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Raises the round of this process, which tells the others that this process is alive.
+    /// Raises the round of this process, by which the others see that this process is alive.
     ///
     /// The others have suspected it if it was paused or a partition has healed. Those that exchange
     /// heartbeats with it see that it is back; the rest would leave it out permanently.
--- a/crates/once/src/issuer.rs
+++ b/crates/once/src/issuer.rs
@@ -68,12 +68,12 @@
 
     /// Grants the operation if its key was never claimed or closed; otherwise returns its known state.
     ///
-    /// A key rejected because the ledger is full must stay rejected: a paused entry may hold another
-    /// copy of the request and claim it once there is capacity again, after the caller was told that
-    /// the operation did not run. A session at its own limit stays there until it ends, as its
-    /// operations are kept until then. A full ledger regains capacity when old sessions end, so its
-    /// rejection closes every session issued so far, for which storing one serial is enough; the
-    /// caller continues with a new session.
+    /// A key rejected because the ledger is full must stay rejected: a paused entry may hold
+    /// another copy of the request and claim it once there is capacity again, after it was reported
+    /// to the caller that the operation did not run. A session at its own limit stays there until
+    /// it ends, as its operations are kept until then. A full ledger regains capacity when old
+    /// sessions end, so its rejection closes every session issued so far, for which storing one
+    /// serial is enough; the caller continues with a new session.
     pub fn claim(&mut self, operation: &OperationId, claim: &ClaimId, now: Mono) -> ClaimAnswer {
         if let Some(answer) = self.known_answer(operation, now) {
             return answer;
@@ -92,7 +92,7 @@
 
     /// Ensures that the operation never runs, unless it was granted to another claim.
     ///
-    /// An entry calls this before it tells a caller that a keyed operation was not run; it
+    /// An entry calls this before it reports to a caller that a keyed operation was not run; it
     /// guarantees that its own `claim` has not led to a run and never will. A full ledger has no
     /// capacity for a tombstone and closes every session issued so far instead.
     pub fn close(&mut self, operation: &OperationId, claim: &ClaimId, now: Mono) -> ClaimAnswer {
--- a/crates/once/src/ledger.rs
+++ b/crates/once/src/ledger.rs
@@ -134,7 +134,7 @@
         config: &OnceConfig,
     ) -> CompletionAnswer {
         let kept_bytes = self.kept_bytes;
-        let Some(state) = self.held_state(session, key, claim) else {
+        let Some(state) = self.state_of_claim(session, key, claim) else {
             return CompletionAnswer::Ignored;
         };
         let mut added_bytes = 0;
@@ -151,7 +151,7 @@
         CompletionAnswer::Recorded
     }
 
-    fn held_state(
+    fn state_of_claim(
         &mut self,
         session: &Session,
         key: &IdempotencyKey,
--- a/crates/once/src/sealed.rs
+++ b/crates/once/src/sealed.rs
@@ -164,7 +164,8 @@
         }
     }
 
-    /// Adds the operations of another part and restores the order that lookups rely on.
+    /// Adds the operations of another part of the ledger and restores the order that lookups rely
+    /// on.
     ///
     /// Only the sessions of the part are sorted: sorting the operations of all sessions for each part
     /// would block the control thread for a time quadratic in the size of the ledger.
--- a/crates/once/src/secret.rs
+++ b/crates/once/src/secret.rs
@@ -38,9 +38,9 @@
     }
 
     pub(crate) fn tag(&self, text: &str) -> [u8; TAG_BYTES] {
-        let whole = self.mac(text).finalize().into_bytes();
+        let full_tag = self.mac(text).finalize().into_bytes();
         let mut tag = [0; TAG_BYTES];
-        tag.copy_from_slice(&whole[..TAG_BYTES]);
+        tag.copy_from_slice(&full_tag[..TAG_BYTES]);
         tag
     }
 
--- a/crates/once/tests/interleavings.rs
+++ b/crates/once/tests/interleavings.rs
@@ -109,7 +109,7 @@
 enum Phase {
     Open(Issuer<Open>),
     Draining(Issuer<Draining>),
-    Gone,
+    Sealed,
 }
 
 /// Simulation of one issuing VM, entries, messages in transit, and the verdicts reported to callers.
@@ -235,7 +235,7 @@
                 match &mut self.phase {
                     Phase::Open(issuer) => issuer.complete(id, &claim, completion, self.now),
                     Phase::Draining(issuer) => issuer.complete(id, &claim, completion, self.now),
-                    Phase::Gone => return,
+                    Phase::Sealed => return,
                 };
             }
             Message::Answer { operation, claim, answer } => {
@@ -251,7 +251,7 @@
             Phase::Open(issuer) => issuer.claim(id, claim, self.now),
             Phase::Draining(issuer) if close => issuer.close(id, claim, self.now),
             Phase::Draining(issuer) => issuer.claim(id, self.now),
-            Phase::Gone => self.look_up_in_archives(operation),
+            Phase::Sealed => self.look_up_in_archives(operation),
         }
     }
 
@@ -302,7 +302,7 @@
         match &mut self.phase {
             Phase::Open(issuer) => issuer.executor_lost(&vm, Incarnation::new(1)),
             Phase::Draining(issuer) => issuer.executor_lost(&vm, Incarnation::new(1)),
-            Phase::Gone => {}
+            Phase::Sealed => {}
         }
     }
 
@@ -312,20 +312,20 @@
     }
 
     fn drain(&mut self) {
-        self.phase = match std::mem::replace(&mut self.phase, Phase::Gone) {
+        self.phase = match std::mem::replace(&mut self.phase, Phase::Sealed) {
             Phase::Open(issuer) => Phase::Draining(issuer.drain(self.now)),
             other => other,
         };
     }
 
     fn seal(&mut self) {
-        self.phase = match std::mem::replace(&mut self.phase, Phase::Gone) {
+        self.phase = match std::mem::replace(&mut self.phase, Phase::Sealed) {
             Phase::Draining(issuer) => {
                 let sealed = issuer.seal(self.now);
                 let [first, second] = &mut self.archives;
                 first.add(sealed.clone(), self.now);
                 second.add(sealed, self.now);
-                Phase::Gone
+                Phase::Sealed
             }
             other => other,
         };
--- a/crates/revisions/src/pull_gate.rs
+++ b/crates/revisions/src/pull_gate.rs
@@ -50,7 +50,7 @@
         true
     }
 
-    /// Forgets a peer, after a failed pull or when the peer is gone.
+    /// Forgets a peer, after a failed pull or when the peer is no longer in the fleet.
     pub fn forget(&mut self, peer: &VmId) {
         self.last_pulls.remove(peer);
     }
--- a/crates/roster/src/roster.rs
+++ b/crates/roster/src/roster.rs
@@ -14,7 +14,7 @@
     Joined(TargetId),
     /// The target is draining and accepts no new requests.
     Draining(TargetId),
-    /// The target is gone, or its record can no longer be decoded.
+    /// The target has been removed, or its record can no longer be decoded.
     Left(TargetId),
     /// The target's record is missing after an outage of the platform; the target is kept for a
     /// grace period.
--- a/crates/routes/src/route.rs
+++ b/crates/routes/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes and their parts.
+//! Routes and the types of their fields.
 
 use std::fmt;
 use std::str::FromStr;
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -105,7 +105,7 @@
 }
 
 impl RouteTable {
-    /// Creates a table from validated parts.
+    /// Creates a table from routes, services and limits, and validates them.
     ///
     /// # Errors
     /// Returns all errors in the table.
@@ -167,10 +167,12 @@
 ) -> impl Iterator<Item = TableError> {
     let name = || route.name.clone();
     let has_slashes = route.prefix.starts_with('/') && route.prefix.ends_with('/');
-    let total_weight: u64 = route.services.iter().map(|part| u64::from(part.weight)).sum();
-    let unknown = route.services.iter().filter(|part| !services.contains_key(&part.service));
-    let mut errors: Vec<TableError> =
-        unknown.map(|part| TableError::UnknownService(name(), part.service.clone())).collect();
+    let total_weight: u64 = route.services.iter().map(|weighted| u64::from(weighted.weight)).sum();
+    let unknown =
+        route.services.iter().filter(|weighted| !services.contains_key(&weighted.service));
+    let mut errors: Vec<TableError> = unknown
+        .map(|weighted| TableError::UnknownService(name(), weighted.service.clone()))
+        .collect();
     errors.extend((!has_slashes).then(|| TableError::InvalidPrefix(name())));
     errors.extend((total_weight == 0).then(|| TableError::NoService(name())));
     errors.extend((route.attempts_max == 0).then(|| TableError::NoAttempts(name())));
--- a/crates/routes/tests/routes.rs
+++ b/crates/routes/tests/routes.rs
@@ -17,8 +17,8 @@
     ServiceName::new(name).unwrap()
 }
 
-fn route(name: &str, prefix: &str, parts: &[(&str, u32)]) -> Route {
-    let part =
+fn route(name: &str, prefix: &str, weighted_services: &[(&str, u32)]) -> Route {
+    let weighted_service =
         |(name, weight): &(&str, u32)| WeightedService { service: service(name), weight: *weight };
     Route {
         name: RouteName::new(name).unwrap(),
@@ -29,7 +29,7 @@
         latency_objective: Duration::from_millis(400),
         priority: Priority::new(1),
         attempts_max: 2,
-        services: parts.iter().map(part).collect(),
+        services: weighted_services.iter().map(weighted_service).collect(),
     }
 }
 
@@ -119,18 +119,18 @@
             return TestResult::discard();
         }
         let names: Vec<String> = (0..weights.len()).map(|index| format!("s{index}")).collect();
-        let parts: Vec<(&str, u32)> =
+        let weighted_services: Vec<(&str, u32)> =
             names.iter().map(String::as_str).zip(weights.iter().map(|w| u32::from(*w))).collect();
-        let route = route("split", "/", &parts);
+        let route = route("split", "/", &weighted_services);
         let mut splitter = Splitter::new();
         let mut counts: BTreeMap<ServiceName, u32> = BTreeMap::new();
         for _ in 0..requests {
             *counts.entry(splitter.next(&route)).or_default() += 1;
         }
-        let is_within_bounds = parts.iter().all(|(name, weight)| {
+        let is_within_bounds = weighted_services.iter().all(|(name, weight)| {
             let count = counts.get(&service(name)).copied().unwrap_or(0);
             let expected = f64::from(requests) * f64::from(*weight) / f64::from(total);
-            (f64::from(count) - expected).abs() <= parts.len() as f64
+            (f64::from(count) - expected).abs() <= weighted_services.len() as f64
         });
         TestResult::from_bool(is_within_bounds)
     }
--- a/crates/rules/src/load_hysteresis.rs
+++ b/crates/rules/src/load_hysteresis.rs
@@ -53,14 +53,14 @@
     }
 }
 
-fn is_above(held_before: bool, load: Option<Permille>, bound: Permille) -> bool {
+fn is_above(was_met: bool, load: Option<Permille>, bound: Permille) -> bool {
     let Some(load) = load else { return false };
     let release_bound = bound.value().saturating_sub(HYSTERESIS.value());
-    load > bound || (held_before && load.value() > release_bound)
+    load > bound || (was_met && load.value() > release_bound)
 }
 
-fn is_below(held_before: bool, load: Option<Permille>, bound: Permille) -> bool {
+fn is_below(was_met: bool, load: Option<Permille>, bound: Permille) -> bool {
     let Some(load) = load else { return false };
     let release_bound = bound.value().saturating_add(HYSTERESIS.value());
-    load < bound || (held_before && load.value() < release_bound)
+    load < bound || (was_met && load.value() < release_bound)
 }
--- a/crates/types/src/request_rate.rs
+++ b/crates/types/src/request_rate.rs
@@ -40,16 +40,16 @@
         self.milli_per_s / MILLI
     }
 
-    /// Divides the rate into `parts` equal parts, rounded down, and returns one of them.
+    /// Returns the rate divided by `divisor`, rounded down; zero counts as one.
     #[must_use]
-    pub fn divided_by(self, parts: usize) -> Self {
-        Self { milli_per_s: self.milli_per_s / (parts.max(1) as u64) }
+    pub fn divided_by(self, divisor: usize) -> Self {
+        Self { milli_per_s: self.milli_per_s / (divisor.max(1) as u64) }
     }
 
     /// Returns this share of the rate, rounded down.
     #[must_use]
-    pub fn part(self, part: Permille) -> Self {
-        Self { milli_per_s: part.of(self.milli_per_s) }
+    pub fn share(self, share: Permille) -> Self {
+        Self { milli_per_s: share.of(self.milli_per_s) }
     }
 
     /// Returns the interval between successive requests; `None` if the rate is zero.
